--- a/src/protocol/rollout.rs
+++ b/src/protocol/rollout.rs
@@ -1,42 +1,42 @@
-//! Orders for roll-outs, and the word on them that an operator reads.
+//! Orders for roll-outs, and the status of an order that operators read.
 
 use crate::{
     id::{Name, Release},
     unit::Span,
 };
 
-/// An operator's order: targets of a release take over from those that serve.
+/// An operator's order to move the requests of a service to the targets of another release.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Order {
     /// The service.
     pub service: Name,
-    /// The release that is to take over.
+    /// The new release.
     pub to: Release,
-    /// How long that may take.
+    /// How long the roll-out may take.
     pub duration: Span,
 }
 
-/// What an operator reads of an order.
+/// The status of an order, as operators read it from the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Word {
     /// The service.
     pub service: Name,
-    /// The release that was to take over.
+    /// The new release.
     pub to: Release,
-    /// The place of the order in the store, which tells two orders for one release apart;
-    /// nothing in a word of another writer.
+    /// The offset of the order in the store, which distinguishes two orders for one release;
+    /// `None` if another program wrote the status.
     pub order: Option<u64>,
-    /// What became of it.
+    /// The state of the order.
     pub state: State,
 }
 
-/// What became of an order, in a word.
+/// The state of an order in its status.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum State {
-    /// Nothing yet.
+    /// The roll-out is neither completed nor rolled back yet.
     Running,
     /// The new release serves.
     Completed,
-    /// It gets nothing more.
+    /// The new release gets no requests.
     RolledBack,
 }
