--- a/src/coordination/decision/rollout/judge.rs
+++ b/src/coordination/decision/rollout/judge.rs
@@ -1,77 +1,79 @@
-//! What becomes of an order, by what the nodes beside the new targets conclude.
+//! The next stage of an order, from the verdicts of the nodes beside the new targets.
 //!
-//! A release gets all requests only as late as the order's time forces it, so that one
-//! which turns bad late does so while it has a small share.
+//! A release gets all requests only when the order's deadline requires it. A release that
+//! turns bad late then still has a small share.
 
 use std::time::Duration;
 
 use crate::state::rollout::Stage;
 
-/// How long before the end of its time a release that did well on trial gets all requests:
-/// what is told reaches all nodes within half a second, and what the old targets run then
-/// ends within another 1.5 s, for they are ended without a pause once the order is
-/// completed.
-const MOVE: Duration = Duration::from_millis(3000);
+/// How long before the order's deadline a release that passed its trial gets all requests.
+/// A new stage reaches all nodes within 0.5 s, and what the old targets run then ends within
+/// another 1.5 s; it has to, since they are stopped as soon as the order is completed.
+const FULL_TRAFFIC_LEAD: Duration = Duration::from_millis(3000);
 
-/// How long before the end of its time an order is completed or taken back: twice what a
-/// call to a store takes that is slowed to 60 times its usual 4 ms, and the time of day of a
-/// node that started anew.
-const END: Duration = Duration::from_millis(900);
+/// How long before its deadline an order is completed or rolled back. Covers twice the time
+/// of a call to a store that is slowed down from its usual 4 ms to 60 times that, and the
+/// error of the wall clock at a node that has just restarted.
+const FINISH_LEAD: Duration = Duration::from_millis(900);
 
-/// How long the new release has all requests at the least before the order is completed, so
-/// that nothing runs at the old targets any more.
-const SETTLED: Duration = Duration::from_millis(1500);
+/// The shortest time for which the new release has all requests before the order is
+/// completed, so that no request runs at the old targets any more.
+const MIN_FULL_TRAFFIC: Duration = Duration::from_millis(1500);
 
-/// The part of an order's time that [`MOVE`] and [`END`] take at the most.
-const MOST_OF: u32 = 4;
+/// [`FULL_TRAFFIC_LEAD`] and [`FINISH_LEAD`] are each at most the order's duration divided by
+/// this.
+const LEAD_DIVISOR: u32 = 4;
 
-/// Failing targets that take a release back: one may fail for a reason of its own.
-const FAILING: usize = 2;
+/// The number of failing targets that rolls a release back. One target may fail for a reason
+/// other than its release.
+const MIN_FAILING_TARGETS: usize = 2;
 
-/// While a release has all requests, the part of its targets that has to fail for it to be
-/// taken back, if that is more: among dozens a few are slow by themselves.
-const FAILING_PART: usize = 8;
+/// While the new release has all requests, it is rolled back only if the number of its failing
+/// targets is at least that of its targets divided by this, and [`MIN_FAILING_TARGETS`]. Among
+/// dozens of targets, a few are slow for reasons other than their release.
+const FAILING_DIVISOR: usize = 8;
 
-/// The slots that the new targets must have over those of the old ones: with fewer, the
-/// service would turn away what it serves now.
-const ROOM: f64 = 0.6;
+/// The least ratio of the slots of the new targets to those of the old ones. With fewer, the
+/// service would reject requests that it serves now.
+const MIN_SLOT_RATIO: f64 = 0.6;
 
-/// What is known of an order.
+/// Counts of the targets of an order's service.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Count {
-    /// Targets of the new release that are there and do not drain.
+pub struct TargetCounts {
+    /// Targets of the new release that are alive and not draining.
     pub new: usize,
-    /// Those of them that did well on trial.
+    /// Those of them that passed their trial.
     pub passing: usize,
-    /// Those that are failing, also where they drain by now.
+    /// Failing targets of the new release, also those that are not counted in `new`.
     pub failing: usize,
-    /// The slots of the new targets.
+    /// The slots of the targets counted in `new`.
     pub new_slots: u32,
-    /// The slots of the targets that serve.
+    /// The slots of the other targets that are alive and not draining.
     pub old_slots: u32,
 }
 
-/// An order and how it stands.
+/// The facts about an order from which its next stage follows.
 #[derive(Clone, Copy, Debug)]
-pub struct Case {
-    /// How far it has come.
+pub struct Input {
+    /// The current stage.
     pub stage: Stage,
-    /// How long ago it was given.
+    /// The time since the order was given.
     pub age: Duration,
-    /// How long it has been in its stage, as far as this node knows.
+    /// The time since this node learned of the current stage.
     pub in_stage: Duration,
-    /// How long it may take.
+    /// The time that the order allows for the roll-out.
     pub duration: Duration,
-    /// What is known of the targets.
-    pub count: Count,
+    /// The targets of the order's service.
+    pub targets: TargetCounts,
 }
 
-/// Returns what the order waits for, in words.
-pub fn waits_for(case: &Case) -> &'static str {
-    let Count {
+/// Returns a text for operators that states what the order waits for.
+pub fn waits_for(input: &Input) -> &'static str {
+    let TargetCounts {
         passing, failing, ..
-    } = case.count;
-    match case.stage {
+    } = input.targets;
+    match input.stage {
         Stage::Completed | Stage::RolledBack => "nothing: it has ended",
         Stage::Ordered => "a node that reads the store",
         Stage::Moving => "the end of what runs at the old targets",
@@ -81,36 +83,45 @@
     }
 }
 
-/// Returns the stage that follows now, and why; nothing while the order waits.
-pub fn next(case: &Case) -> Option<(Stage, &'static str)> {
-    let Case { count, .. } = case;
-    let before_end = |span: Duration| {
-        let span = span.min(case.duration / MOST_OF);
-        case.age + span >= case.duration
+/// Returns the next stage of an order and the reason for it, or `None` if the order has
+/// ended or stays in its stage for now.
+pub fn next_stage(input: &Input) -> Option<(Stage, &'static str)> {
+    let Input { targets, .. } = input;
+    let is_within = |lead: Duration| {
+        let lead = lead.min(input.duration / LEAD_DIVISOR);
+        input.age + lead >= input.duration
     };
-    match case.stage {
-        Stage::Ordered => Some((Stage::Trial, "it was ordered")),
+    match input.stage {
+        Stage::Ordered => Some((Stage::Trial, "new order")),
         Stage::Trial => {
-            if count.failing >= FAILING {
-                return Some((Stage::RolledBack, "targets fail on trial"));
+            if targets.failing >= MIN_FAILING_TARGETS {
+                return Some((
+                    Stage::RolledBack,
+                    "targets of the new release fail on trial",
+                ));
             }
-            let did_well = count.passing > count.failing;
-            let has_room = f64::from(count.new_slots) >= ROOM * f64::from(count.old_slots);
-            if did_well && has_room && before_end(MOVE) {
-                return Some((Stage::Moving, "it did well on trial"));
+            let has_passed = targets.passing > targets.failing;
+            let has_room =
+                f64::from(targets.new_slots) >= MIN_SLOT_RATIO * f64::from(targets.old_slots);
+            if has_passed && has_room && is_within(FULL_TRAFFIC_LEAD) {
+                return Some((Stage::Moving, "the new release passed its trial"));
             }
-            let why = match did_well {
-                true => "its targets have no room for all requests",
-                false => "it was not shown to do well in time",
+            let why = match has_passed {
+                true => "the new targets have too few slots for all requests",
+                false => "the new release did not pass its trial in time",
             };
-            before_end(END).then_some((Stage::RolledBack, why))
+            is_within(FINISH_LEAD).then_some((Stage::RolledBack, why))
         }
         Stage::Moving => {
-            if count.failing >= FAILING.max(count.new / FAILING_PART) {
-                return Some((Stage::RolledBack, "targets fail under all requests"));
+            if targets.failing >= MIN_FAILING_TARGETS.max(targets.new / FAILING_DIVISOR) {
+                let why = "targets of the new release fail with all requests";
+                return Some((Stage::RolledBack, why));
             }
-            let is_due = before_end(END) && case.in_stage >= SETTLED;
-            is_due.then_some((Stage::Completed, "it does well with all requests"))
+            let is_due = is_within(FINISH_LEAD) && input.in_stage >= MIN_FULL_TRAFFIC;
+            is_due.then_some((
+                Stage::Completed,
+                "the new release does well with all requests",
+            ))
         }
         Stage::Completed | Stage::RolledBack => None,
     }
--- a/src/coordination/decision/rollout/mod.rs
+++ b/src/coordination/decision/rollout/mod.rs
@@ -1,18 +1,20 @@
-//! How a new release of a service is tried, judged, and completed or taken back.
+//! How a new release of a service is tried, judged, and completed or rolled back.
 //!
-//! The load that this answers: a service's targets serve at their usual load while targets
-//! of another release stand beside them, of which nobody knows yet whether they fail,
-//! answer slowly, do so only after a while, under load, or on one route.
+//! The targets of a service run at their usual load beside targets of a new release. It is
+//! unknown whether those fail or answer slowly, possibly only after a while, under load, or
+//! on one route.
 //!
-//! * [`deal`]: which requests a release on trial gets, as a share of what arrives;
-//! * [`trial`]: what the node beside a target on trial concludes from its answers, each
-//!   compared with what its sender sees of the release that serves, on the same route in
-//!   the same seconds;
-//! * [`judge`]: what becomes of the order, by the verdicts of those nodes.
+//! * [`canary`]: which targets of the new release are on trial, and which requests they get,
+//!   as a share of all arrivals;
+//! * [`trial`]: the verdict of a node on its own target, from the target's answers; each is
+//!   compared with what its sender sees of the serving release, on the same route in the
+//!   same seconds;
+//! * [`judge`]: the next stage of an order, from the verdicts of those nodes.
 //!
-//! Nobody but the node beside a target reaches it. So that node counts all of the target's
-//! answers, needs no other node's evidence to stop, and stops at its own word.
+//! A target is reached only through the node beside it. So that node counts all of the
+//! target's answers, and it stops sending to the target on its own verdict, without evidence
+//! from other nodes.
 
-pub mod deal;
+pub mod canary;
 pub mod judge;
 pub mod trial;
--- a/src/coordination/decision/rollout/trial.rs
+++ b/src/coordination/decision/rollout/trial.rs
@@ -1,84 +1,88 @@
-//! What is concluded from the answers of one target on trial.
+//! The verdict on one target on trial, from its answers.
 //!
-//! A sequential test for each route (a cumulative sum of log-likelihood ratios): each
-//! answer is weighed against the share of bad ones that its sender sees of the release that
-//! serves, on the same route in the same seconds. So calls that fail elsewhere, overload and
-//! troubles that both releases have speak against neither. The sum never falls below
-//! nothing, so a release that turns bad late is found as fast as one that was bad from the
-//! start, and one that is bad on one route is not hidden by the others.
+//! For each route, a sequential test runs: a cumulative sum (CUSUM) of log-likelihood ratios.
+//! Each answer is weighed against the share of bad answers that its sender sees of the
+//! serving release, on the same route in the same seconds. So failing calls to other
+//! services, overload and other faults that both releases have count against neither. The
+//! sum never falls below 0, so a release that turns bad late is detected as fast as one that
+//! was bad from the start. Each route has its own sum, so good answers on other routes don't
+//! hide a route on which the release is bad.
 
 use std::{collections::HashMap, time::Duration};
 
 use crate::id::Name;
 
-/// Of requests that the release which serves would answer well, the share that a bad one
-/// does not. A release that spoils a seventh or more is found.
-const EXCESS: f64 = 0.25;
+/// The share of bad answers that a bad release adds, among the requests that the serving
+/// release would answer well. A release that spoils a seventh of them or more is detected.
+const EXCESS_SHARE: f64 = 0.25;
 
-/// The least share of bad answers that is taken for usual. On hosts half as slow again as
-/// the mean 6 in 100 answers of a route whose work spreads widely take [`SLOW`] times the
-/// mean; at 0.02 eight of 32 good targets were judged to fail under their usual load.
-const LEAST_USUAL: f64 = 0.06;
+/// The least baseline share of bad answers. On hosts that are half as slow again as the mean,
+/// 6 in 100 answers of a route whose run times vary widely take [`SLOW_RATIO`] times the
+/// mean. At 0.02, eight of 32 good targets were judged to fail under their usual load.
+const MIN_BASELINE_SHARE: f64 = 0.06;
 
-/// The greatest: of a service that mostly fails nothing can be told.
-const MOST_USUAL: f64 = 0.8;
+/// The greatest baseline share of bad answers. If a service mostly fails, its answers tell
+/// nothing about a release.
+const MAX_BASELINE_SHARE: f64 = 0.8;
 
-/// The sum from which a target counts as failing. A good one reaches it once in `e^10`, some
-/// 20,000 answers on a route, many times those of a trial; one that spoils half of them
-/// within some 15 answers, 8 of them bad.
-const FAILING: f64 = 10.0;
+/// The sum (a log-likelihood ratio) from which a target is failing. A good target reaches it
+/// once in `e^10`, some 20,000, answers on a route, many times those of a trial. A target
+/// that spoils half of its answers reaches it within some 15 answers, 8 of them bad.
+const FAILING_SUM: f64 = 10.0;
 
-/// Answers after which a target that is not failing counts as good. A release that spoils
-/// half of them is found within 20 in 999 of 1,000 trials.
-const ENOUGH: u32 = 20;
+/// The number of answers after which a target that is not failing has passed. A release that
+/// spoils half of its answers is detected within 20 answers in 999 of 1,000 trials.
+const MIN_ANSWERS: u32 = 20;
 
-/// How many times as long as usual an answer takes that counts as bad. Targets that have
+/// The ratio of run time to usual run time from which an answer is bad. Targets that have
 /// just started take twice as long, slow hosts half as long again.
-const SLOW: f64 = 4.0;
-
-/// The shortest run that is usual in this: how a host's processor is shared out makes many
-/// times as much of a run of a millisecond, and an answer within a tenth of a second is slow
-/// for no caller.
-const LEAST_RUN: Duration = Duration::from_millis(25);
-
-/// The weight of the newest answer in the share of bad ones that a sender sees: those of
-/// about the last four seconds of a node's part of the traffic.
-const NEWEST: f64 = 0.02;
-
-/// Returns whether an answer is bad: the target says that it failed, or it took several
-/// times as long as usual.
-pub fn is_bad(is_fault: bool, ran: Duration, usual: Option<Duration>) -> bool {
-    let is_slow = usual.is_some_and(|usual| ran > usual.max(LEAST_RUN).mul_f64(SLOW));
+const SLOW_RATIO: f64 = 4.0;
+
+/// The least usual run time for this comparison. The scheduling of a host's processor can
+/// lengthen a run of a millisecond many times, and no caller finds an answer slow that comes
+/// within 0.1 s.
+const MIN_USUAL_RUN_TIME: Duration = Duration::from_millis(25);
+
+/// The weight of the newest answer in the moving average of bad answers, which then covers
+/// about the last four seconds of one node's part of the traffic.
+const NEWEST_WEIGHT: f64 = 0.02;
+
+/// Returns whether an answer is bad: the target reported a failure, or the run took several
+/// times the usual run time.
+pub fn is_bad(is_fault: bool, run_time: Duration, usual: Option<Duration>) -> bool {
+    let is_slow =
+        usual.is_some_and(|usual| run_time > usual.max(MIN_USUAL_RUN_TIME).mul_f64(SLOW_RATIO));
     is_fault || is_slow
 }
 
-/// The share of bad answers that a node sees of the releases that serve, by route.
+/// The share of bad answers that a node sees of the serving releases, by route.
 #[derive(Debug, Default)]
-pub struct Usual {
-    routes: HashMap<Name, f64>,
+pub struct Baseline {
+    shares: HashMap<Name, f64>,
 }
 
-impl Usual {
-    /// Notes an answer.
-    pub fn note(&mut self, route: &Name, is_bad: bool) {
-        let share = self.routes.entry(route.clone()).or_default();
-        *share += NEWEST * (f64::from(u8::from(is_bad)) - *share);
+impl Baseline {
+    /// Records an answer.
+    pub fn record(&mut self, route: &Name, is_bad: bool) {
+        let share = self.shares.entry(route.clone()).or_default();
+        *share += NEWEST_WEIGHT * (f64::from(u8::from(is_bad)) - *share);
     }
 
-    /// Returns the share of bad ones on a route.
+    /// Returns the share of bad answers on a route; 0 if no answer is recorded.
     pub fn share(&self, route: &Name) -> f64 {
-        self.routes.get(route).copied().unwrap_or(0.0)
+        self.shares.get(route).copied().unwrap_or(0.0)
     }
 
-    /// Forgets the routes that are gone.
-    pub fn retain(&mut self, is_there: impl Fn(&Name) -> bool) {
-        self.routes.retain(|route, _| is_there(route));
+    /// Forgets the routes that no longer exist.
+    pub fn retain(&mut self, exists: impl Fn(&Name) -> bool) {
+        self.shares.retain(|route, _| exists(route));
     }
 }
 
 /// The trial of one target.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Trial {
+    /// The cumulative sums, by route.
     sums: HashMap<Name, f64>,
     answers: u32,
     bad: u32,
@@ -86,33 +90,36 @@
 }
 
 impl Trial {
-    /// Notes an answer on a route of which the sender sees this share of bad ones usually.
+    /// Records an answer on a route. `baseline` is the share of bad answers of the serving
+    /// release there, as the sender sees it.
     ///
     /// Returns whether the verdict changed.
-    pub fn note(&mut self, route: &Name, usual: f64, is_bad: bool) -> bool {
+    pub fn record(&mut self, route: &Name, baseline: f64, is_bad: bool) -> bool {
         let before = self.verdict();
         self.answers += 1;
         self.bad += u32::from(is_bad);
-        let usual = usual.clamp(LEAST_USUAL, MOST_USUAL);
-        let spoiled = usual + (1.0 - usual) * EXCESS;
+        // The probability of a bad answer if the release is good, and if it is bad.
+        let if_good = baseline.clamp(MIN_BASELINE_SHARE, MAX_BASELINE_SHARE);
+        let if_bad = if_good + (1.0 - if_good) * EXCESS_SHARE;
         let ratio = match is_bad {
-            true => spoiled / usual,
-            false => (1.0 - spoiled) / (1.0 - usual),
+            true => if_bad / if_good,
+            false => (1.0 - if_bad) / (1.0 - if_good),
         };
         let sum = self.sums.entry(route.clone()).or_default();
         *sum = (*sum + ratio.ln()).max(0.0);
-        self.is_failing |= *sum >= FAILING;
+        self.is_failing |= *sum >= FAILING_SUM;
         self.verdict() != before
     }
 
-    /// Returns whether the target is failing; nothing if that can't be told yet.
+    /// Returns whether the target is failing, or `None` while there are too few answers to
+    /// tell.
     pub fn verdict(&self) -> Option<bool> {
-        let is_known = self.is_failing || self.answers >= ENOUGH;
+        let is_known = self.is_failing || self.answers >= MIN_ANSWERS;
         is_known.then_some(self.is_failing)
     }
 
-    /// Returns the answers so far, and the bad ones among them.
-    pub fn answers(&self) -> (u32, u32) {
+    /// Returns the number of answers so far, and of the bad ones among them.
+    pub fn counts(&self) -> (u32, u32) {
         (self.answers, self.bad)
     }
 }
--- a/src/coordination/rollout/duty.rs
+++ b/src/coordination/rollout/duty.rs
@@ -1,9 +1,11 @@
-//! Carries orders out: at each node that reads the store for its failure domain.
+//! Carries out orders for roll-outs, at each node that reads the store for its failure
+//! domain.
 //!
-//! Any of them may, and several may at once. What an operator reads is written only if the
-//! store's row of words is as it was when it was read, and never over a final word of the
-//! same order: so there is one final word, whoever dies, is cut off or comes late. Nodes are
-//! told a final stage only once its word stands.
+//! Several nodes may do so at once. The status that operators read is written by
+//! compare-and-set: only if the store's log of statuses still ends where it did when it was
+//! read, and never after a final status of the same order. So there is exactly one final
+//! status, even if nodes crash, are partitioned or write late. A final stage is published to
+//! nodes only after its status is in the store.
 
 use std::{
     collections::BTreeMap,
@@ -14,10 +16,10 @@
 use crate::{
     coordination::{
         Error,
-        decision::rollout::judge::{self, Case, Count},
+        decision::rollout::judge::{self, Input, TargetCounts},
         host::Host,
         link::Store,
-        rollout::Known,
+        rollout::Tracked,
         source,
     },
     event::Event,
@@ -34,70 +36,73 @@
     unit::Span,
 };
 
-/// The pause between looks at the roll-outs under way. A release that fails is taken back
-/// as much later at the most, of the 5 s in which it must be.
-const LOOK: Duration = Duration::from_millis(100);
+/// The pause between two checks of the open roll-outs. It delays the rollback of a failing
+/// release, which has to happen within 5 s, by at most this.
+const CHECK_PAUSE: Duration = Duration::from_millis(100);
 
-/// How much longer each further failure domain waits before it acts: what the first one
-/// writes is known everywhere by then, and the others need not write it, too.
-const TURN: Duration = Duration::from_millis(500);
+/// How much longer each further failure domain waits before it writes. By then, what the
+/// first one wrote is known everywhere, and the others need not write it, too.
+const DOMAIN_DELAY: Duration = Duration::from_millis(500);
 
-/// How long a store that failed is waited for before it is asked again.
-const RELY: Duration = Duration::from_millis(400);
+/// The maximum wait for a store that failed, before the next call to it.
+const STORE_WAIT: Duration = Duration::from_millis(400);
 
-/// How often a word is tried before the next look: others write at the same time at most
-/// once for each failure domain.
-const TRIES: usize = 8;
+/// The maximum number of attempts to write a status before the next check. Concurrent writes
+/// are at most one for each failure domain.
+const MAX_ATTEMPTS: usize = 8;
 
-/// Carries orders out while this node reads the store; never returns.
+/// Carries out orders while this node reads the store; never returns.
 pub async fn keep(host: Arc<Host>, store: Store) {
     host.until_settled().await;
     let mut reading = host.reading();
-    let mut wanted = Wanted::default();
+    let mut due = DueStages::default();
     loop {
-        // The host outlives its duties.
-        let _ = reading.wait_for(|reads| *reads).await;
-        for rollout in host.rollouts.overtaken() {
-            if let Err(error) = tell(&host, &store, &rollout).await {
-                note_down(&host, &error);
-                host.until_store_answers(RELY).await;
-                host.rollouts.retell(&rollout.service);
+        // This can't fail: the host keeps the sender.
+        let _ = reading.wait_for(|is_reader| *is_reader).await;
+        for rollout in host.rollouts.due_for_republish() {
+            if let Err(error) = publish(&host, &store, &rollout).await {
+                log_store_error(&host, &error);
+                host.until_store_answers(STORE_WAIT).await;
+                host.rollouts.republish(&rollout.service);
             }
         }
-        let mut under_way = host.rollouts.known(Instant::now());
-        under_way.retain(|known| !known.rollout.stage.is_final());
-        if under_way.is_empty() {
+        let mut open = host.rollouts.tracked(Instant::now());
+        open.retain(|tracked| !tracked.rollout.stage.is_final());
+        if open.is_empty() {
             host.rollouts.changed.notified().await;
             continue;
         }
-        for known in under_way {
-            look(&host, &store, &mut wanted, &known).await;
+        for tracked in open {
+            check(&host, &store, &mut due, &tracked).await;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(CHECK_PAUSE).await;
     }
 }
 
-/// Since when the next stage of each roll-out is due.
-type Wanted = BTreeMap<Name, (u64, Stage, Instant)>;
+/// The next stage of each service's roll-out: the order, the stage, and the time since which
+/// it is due.
+type DueStages = BTreeMap<Name, (u64, Stage, Instant)>;
 
-async fn look(host: &Arc<Host>, store: &Store, wanted: &mut Wanted, known: &Known) {
-    let case = case(&host.members.read(), known);
-    let Case { age, count, .. } = case;
-    let rollout = &known.rollout;
-    let Some((stage, why)) = judge::next(&case) else {
+/// Advances a roll-out if its next stage has been due for the time that this node's failure
+/// domain has to wait.
+async fn check(host: &Arc<Host>, store: &Store, due: &mut DueStages, tracked: &Tracked) {
+    let input = input(&host.members.read(), tracked);
+    let Input { age, targets, .. } = input;
+    let rollout = &tracked.rollout;
+    let Some((stage, why)) = judge::next_stage(&input) else {
         return;
     };
     let now = Instant::now();
-    let due = wanted
+    let due = due
         .entry(rollout.service.clone())
         .or_insert((rollout.order, stage, now));
     if (due.0, due.1) != (rollout.order, stage) {
         *due = (rollout.order, stage, now);
     }
-    if now - due.2 < TURN * turn(host) {
+    if now - due.2 < DOMAIN_DELAY * domain_rank(host) {
         return;
     }
-    match act(host, store, rollout, stage).await {
+    match advance(host, store, rollout, stage).await {
         Ok(reached) => note!(
             host.journal,
             Event::RolloutMoved,
@@ -107,20 +112,21 @@
             stage = format_args!("{reached:?}"),
             why = why,
             age = age.as_millis(),
-            new = count.new,
-            passing = count.passing,
-            failing = count.failing,
-            new_slots = count.new_slots,
-            old_slots = count.old_slots,
+            new = targets.new,
+            passing = targets.passing,
+            failing = targets.failing,
+            new_slots = targets.new_slots,
+            old_slots = targets.old_slots,
         ),
         Err(error) => {
-            note_down(host, &error);
-            host.until_store_answers(RELY).await;
+            log_store_error(host, &error);
+            host.until_store_answers(STORE_WAIT).await;
         }
     }
 }
 
-fn note_down(host: &Host, error: &Error) {
+/// Logs that a call to the store failed.
+fn log_store_error(host: &Host, error: &Error) {
     let why = crate::logging::chain(error);
     note!(
         host.journal,
@@ -131,17 +137,18 @@
     );
 }
 
-/// Returns how many failure domains act before this one.
-fn turn(host: &Host) -> u32 {
+/// Returns the rank of this node's failure domain: how many others write before it.
+fn domain_rank(host: &Host) -> u32 {
     let members = host.members.read();
     let present = members.iter().filter(|member| member.is_present());
     let domains: std::collections::BTreeSet<&Name> = present.map(|m| &m.domain).collect();
-    let before = domains.into_iter().position(|d| *d == host.settings.domain);
-    before.unwrap_or(0) as u32
+    let rank = domains.into_iter().position(|d| *d == host.settings.domain);
+    rank.unwrap_or(0) as u32
 }
 
-/// Brings a roll-out to a stage, or to the final one that stands already; returns which.
-async fn act(
+/// Brings a roll-out to a stage, or to the final stage that the store already has for its
+/// order; returns that stage.
+async fn advance(
     host: &Arc<Host>,
     store: &Store,
     rollout: &Rollout,
@@ -149,9 +156,9 @@
 ) -> Result<Stage, Error> {
     let stage = match stage {
         Stage::Ordered | Stage::Moving => stage,
-        Stage::Trial => say(host, store, rollout, State::Running).await?,
-        Stage::Completed => say(host, store, rollout, State::Completed).await?,
-        Stage::RolledBack => say(host, store, rollout, State::RolledBack).await?,
+        Stage::Trial => write_status(host, store, rollout, State::Running).await?,
+        Stage::Completed => write_status(host, store, rollout, State::Completed).await?,
+        Stage::RolledBack => write_status(host, store, rollout, State::RolledBack).await?,
     };
     let from = || {
         let members = host.members.read();
@@ -159,54 +166,63 @@
             .main_release(&rollout.service, Some(&rollout.to))
             .cloned()
     };
-    let told = Rollout {
+    let advanced = Rollout {
         from: rollout.from.clone().or_else(from),
         stage,
         ..rollout.clone()
     };
-    tell(host, store, &told).await?;
-    host.rollouts.take(told, Duration::ZERO, Instant::now());
+    publish(host, store, &advanced).await?;
+    host.rollouts
+        .merge(advanced, Duration::ZERO, Instant::now());
     Ok(stage)
 }
 
-/// Tells all nodes how far a roll-out has come.
-async fn tell(host: &Host, store: &Store, told: &Rollout) -> Result<(), Error> {
-    let record = rmp_serde::to_vec_named(told).expect("plain data always encodes");
-    let since = Instant::now();
-    let put = (store.put)(source::rollout_key(&told.service), record.into()).await;
-    host.note_store("put", &put, Some(since.elapsed()));
+/// Publishes the stage of a roll-out to all nodes, through the store.
+async fn publish(host: &Host, store: &Store, rollout: &Rollout) -> Result<(), Error> {
+    let record = rmp_serde::to_vec_named(rollout).expect("a roll-out always encodes");
+    let started = Instant::now();
+    let put = (store.put)(source::rollout_key(&rollout.service), record.into()).await;
+    host.note_store("put", &put, Some(started.elapsed()));
     put
 }
 
-/// Writes the word on an order, unless a final one stands; returns the stage of the word
-/// that stands then.
-async fn say(host: &Host, store: &Store, rollout: &Rollout, state: State) -> Result<Stage, Error> {
-    for _ in 0..TRIES {
+/// Writes the status of an order for operators, unless the store has it already or has a
+/// final one; returns the stage that belongs to the status then in the store.
+async fn write_status(
+    host: &Host,
+    store: &Store,
+    rollout: &Rollout,
+    state: State,
+) -> Result<Stage, Error> {
+    for _ in 0..MAX_ATTEMPTS {
         let read = (store.said)(rollout.service.clone()).await;
         host.note_store("newest", &read, None);
-        let said = read?;
-        let is_own = |word: &Word| word.to == rollout.to && word.order == Some(rollout.order);
-        if let Some(held) = said.word.filter(is_own)
-            && (held.state != State::Running || state == State::Running)
+        let latest = read?;
+        let is_of_order = |word: &Word| word.to == rollout.to && word.order == Some(rollout.order);
+        if let Some(stored) = latest.word.filter(is_of_order)
+            && (stored.state != State::Running || state == State::Running)
         {
-            return Ok(stage(held.state));
+            return Ok(stage_of(stored.state));
         }
-        let word = Word {
+        let status = Word {
             service: rollout.service.clone(),
             to: rollout.to.clone(),
             order: Some(rollout.order),
             state,
         };
-        let put = (store.say)(word, said.end).await;
+        let put = (store.say)(status, latest.end).await;
         host.note_store("put", &put, None);
         if put? {
-            return Ok(stage(state));
+            return Ok(stage_of(state));
         }
     }
-    Err(Error::Unexpected("the store (others write words)".into()))
+    Err(Error::Unexpected(
+        "the store (other nodes kept writing statuses)".into(),
+    ))
 }
 
-const fn stage(state: State) -> Stage {
+/// Returns the stage that a status stands for.
+const fn stage_of(state: State) -> Stage {
     match state {
         State::Running => Stage::Trial,
         State::Completed => Stage::Completed,
@@ -214,22 +230,26 @@
     }
 }
 
-/// Returns how the latest roll-outs of all services stand, for operators.
+/// Returns the progress of the latest roll-out of each service, for operators.
 pub fn progress(host: &Host) -> Vec<Progress> {
     let now = Instant::now();
     let members = host.members.read();
-    let of = |known: Known| Progress {
-        age_ms: Span::of(known.age).as_millis(),
-        waits_for: judge::waits_for(&case(&members, &known)).into(),
+    let progress = |tracked: Tracked| Progress {
+        age_ms: Span::of(tracked.age).as_millis(),
+        waits_for: judge::waits_for(&input(&members, &tracked)).into(),
         decides: *host.reading().borrow(),
-        targets: tried(&members, &known.rollout),
-        rollout: known.rollout,
+        targets: new_targets(&members, &tracked.rollout),
+        rollout: tracked.rollout,
     };
-    host.rollouts.known(now).into_iter().map(of).collect()
+    host.rollouts
+        .tracked(now)
+        .into_iter()
+        .map(progress)
+        .collect()
 }
 
-/// Returns the nodes beside targets of the release that is to take over.
-fn tried(table: &Table, rollout: &Rollout) -> Vec<Tried> {
+/// Returns the nodes beside targets of the new release, with their verdicts.
+fn new_targets(table: &Table, rollout: &Rollout) -> Vec<Tried> {
     let offers = table.offers(&rollout.service).iter();
     let new = offers.filter_map(|member| {
         let target = member.target(&rollout.service)?;
@@ -242,34 +262,34 @@
     new.collect()
 }
 
-/// Returns an order and how it stands.
-fn case(table: &Table, known: &Known) -> Case {
-    Case {
-        stage: known.rollout.stage,
-        age: known.age,
-        in_stage: known.in_stage,
-        duration: known.rollout.duration.duration(),
-        count: count(table, &known.rollout),
+/// Returns the facts from which the next stage of a roll-out follows.
+fn input(table: &Table, tracked: &Tracked) -> Input {
+    Input {
+        stage: tracked.rollout.stage,
+        age: tracked.age,
+        in_stage: tracked.in_stage,
+        duration: tracked.rollout.duration.duration(),
+        targets: count_targets(table, &tracked.rollout),
     }
 }
 
 /// Counts the targets of an order's service.
-fn count(table: &Table, rollout: &Rollout) -> Count {
-    let mut count = Count::default();
+fn count_targets(table: &Table, rollout: &Rollout) -> TargetCounts {
+    let mut counts = TargetCounts::default();
     for member in table.offers(&rollout.service) {
         let Some(target) = member.target(&rollout.service) else {
             continue;
         };
-        let is_there = member.status == Status::Alive && !target.draining;
+        let is_available = member.status == Status::Alive && !target.draining;
         if target.release.as_ref() != Some(&rollout.to) {
-            count.old_slots += u32::from(is_there) * target.slots;
+            counts.old_slots += u32::from(is_available) * target.slots;
             continue;
         }
         let is_failing = target.is_failing(rollout.order);
-        count.failing += usize::from(is_failing == Some(true));
-        count.new += usize::from(is_there);
-        count.passing += usize::from(is_there && is_failing == Some(false));
-        count.new_slots += u32::from(is_there) * target.slots;
+        counts.failing += usize::from(is_failing == Some(true));
+        counts.new += usize::from(is_available);
+        counts.passing += usize::from(is_available && is_failing == Some(false));
+        counts.new_slots += u32::from(is_available) * target.slots;
     }
-    count
+    counts
 }
--- a/src/coordination/rollout/here.rs
+++ b/src/coordination/rollout/here.rs
@@ -1,4 +1,4 @@
-//! What roll-outs mean for the target on this host.
+//! Receives roll-outs and applies them to this node's target.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -10,24 +10,24 @@
     unit::Span,
 };
 
-/// Takes in what became of orders for roll-outs.
+/// Merges roll-outs that were received; `from` names their source in the log.
 pub fn take(host: &Host, rollouts: Vec<Rollout>, from: &str) {
     let now = Instant::now();
-    for told in rollouts {
-        // A node that has been there has heard of the order when it was given; one that
-        // starts has but the time of day, which may be wrong by seconds.
+    for rollout in rollouts {
+        // A node that has been running learns of an order when it is given. One that has
+        // just started has only the wall clock, which may be wrong by seconds.
         let age = match host.is_settled() {
             true => Duration::ZERO,
-            false => since(told.began).min(told.duration.duration()),
+            false => elapsed_since(rollout.began).min(rollout.duration.duration()),
         };
-        if host.rollouts.take(told.clone(), age, now) {
+        if host.rollouts.merge(rollout.clone(), age, now) {
             note!(
                 host.journal,
                 Event::RolloutHeard,
-                service = told.service,
-                order = told.order,
-                to = told.to,
-                stage = format_args!("{:?}", told.stage),
+                service = rollout.service,
+                order = rollout.order,
+                to = rollout.to,
+                stage = format_args!("{:?}", rollout.stage),
                 age = age.as_millis(),
                 from = from,
             );
@@ -35,7 +35,7 @@
     }
 }
 
-/// Returns what the target here may be sent, by its release.
+/// Returns which requests this node's target may get, by its release.
 pub fn standing(host: &Host) -> Standing {
     let local = host.local.lock();
     let members = host.members.read();
@@ -45,13 +45,14 @@
     })
 }
 
-/// Weighs an answer of the target here, where its release is on trial.
+/// Counts an answer of this node's target towards the trial of its release, if there is one.
+/// `usual` is the share of bad answers that the answer's sender sees of the serving release.
 pub fn weigh(host: &Host, answer: &Answer<'_>, usual: f64) {
     let mut local = host.local.lock();
-    let weighed = local
+    let changed = local
         .target()
-        .and_then(|target| host.rollouts.weigh(target, answer, usual));
-    let Some((verdict, (answers, bad))) = weighed else {
+        .and_then(|target| host.rollouts.assess(target, answer, usual));
+    let Some((verdict, (answers, bad))) = changed else {
         return;
     };
     local.judge(verdict);
@@ -69,13 +70,13 @@
     );
 }
 
-/// Returns the time of day in milliseconds since 1970; 0 of a clock that stands before that.
+/// Returns the wall-clock time in milliseconds since 1970, or 0 if the clock is before that.
 pub fn time_of_day() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |since| Span::of(since).as_millis())
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.map_or(0, |elapsed| Span::of(elapsed).as_millis())
 }
 
-/// Returns how long ago a time of day was, in milliseconds since 1970.
-fn since(moment: u64) -> Duration {
-    Duration::from_millis(time_of_day().saturating_sub(moment))
+/// Returns the time that has passed since a wall-clock time in milliseconds since 1970.
+fn elapsed_since(unix_millis: u64) -> Duration {
+    Duration::from_millis(time_of_day().saturating_sub(unix_millis))
 }
--- a/src/coordination/rollout/mod.rs
+++ b/src/coordination/rollout/mod.rs
@@ -1,8 +1,8 @@
-//! Roll-outs at one node: which targets a request may go to, by their release, and how the
-//! target here does while its release is on trial.
+//! Roll-outs at one node: to which targets a request may go, by their release, and the trial
+//! of this node's target.
 //!
-//! * [`here`]: what that means for the target on this host;
-//! * [`duty`]: carries orders out, at the nodes that read the store.
+//! * [`here`]: receives roll-outs and applies them to this node's target;
+//! * [`duty`]: carries out orders, at the nodes that read the store.
 
 pub mod duty;
 pub mod here;
@@ -17,103 +17,104 @@
 
 use crate::{
     coordination::decision::rollout::{
-        deal::{self, Deal},
-        trial::{self, Trial, Usual},
+        canary::{self, Budget},
+        trial::{self, Baseline, Trial},
     },
     id::{Instance, Name, Node, Release},
     state::{
         member::{Member, Table, Target, Verdict},
-        rollout::{Book, Rollout, Stage, Standing},
+        rollout::{Latest, Rollout, Stage, Standing},
     },
 };
 
-/// Which targets of a service a request may go to.
+/// A subset of a service's targets to which a request may go.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Lane {
-    /// All.
+    /// All targets.
     All,
-    /// Those of one release.
+    /// The targets of one release, and those that name no release.
     Release(Release),
-    /// Those beside these nodes, which are on trial.
+    /// The targets on trial, which are beside these nodes.
     Trial(Vec<Node>),
 }
 
 impl Lane {
-    /// Returns whether a member's target of `service` is among them.
+    /// Returns whether a member's target of `service` is in the subset.
     pub fn admits(&self, member: &Member, service: &Name) -> bool {
         match self {
             Self::All => true,
             Self::Trial(nodes) => nodes.contains(&member.node),
             Self::Release(release) => {
                 let target = member.target(service);
-                let offered = target.and_then(|target| target.release.as_ref());
-                offered.is_none_or(|offered| offered == release)
+                let of_target = target.and_then(|target| target.release.as_ref());
+                of_target.is_none_or(|of_target| of_target == release)
             }
         }
     }
 }
 
-/// What a node knows of roll-outs.
+/// The roll-outs that a node knows of.
 #[derive(Debug)]
 pub struct Rollouts {
-    /// The share of a service's requests that may reach a release which proves bad;
-    /// nothing where there are no roll-outs.
+    /// The share of a service's requests that may reach a release that proves bad; `None` if
+    /// roll-outs are disabled.
     share: Option<f64>,
     state: Mutex<State>,
-    /// Wakes the duty that carries orders out.
+    /// Wakes the task that carries out orders.
     pub changed: Notify,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    book: Book,
-    /// Since when each roll-out is known, and its stage.
-    since: BTreeMap<Name, Since>,
-    deal: Deal,
-    usual: Usual,
-    /// Roll-outs that have ended, and of which an earlier stage was told afterwards.
-    overtaken: Vec<Name>,
-    /// The trial of the target here.
+    latest: Latest,
+    /// When the latest roll-out of each service, and its stage, became known.
+    times: BTreeMap<Name, Times>,
+    budget: Budget,
+    baseline: Baseline,
+    /// Services whose roll-out has ended and has to be published again.
+    republish: Vec<Name>,
+    /// The trial of this node's target, with the order and the target's instance.
     trial: Option<(u64, Instance, Trial)>,
 }
 
 impl State {
-    /// Returns the roll-out in which a release of a service is being tried.
-    fn tried(&self, service: &Name) -> Option<&Rollout> {
-        let rollout = self.book.get(service);
+    /// Returns the roll-out of a service while its new release gets a share of the requests,
+    /// or all, and can still be rolled back.
+    fn evaluated(&self, service: &Name) -> Option<&Rollout> {
+        let rollout = self.latest.get(service);
         rollout.filter(|rollout| matches!(rollout.stage, Stage::Trial | Stage::Moving))
     }
 }
 
-/// A roll-out and how long it has been known.
+/// A roll-out with its age and the time in its stage.
 #[derive(Clone, Debug)]
-pub struct Known {
-    /// What became of the order.
+pub struct Tracked {
+    /// The order and its stage.
     pub rollout: Rollout,
-    /// How long ago it was given.
+    /// The time since the order was given, as far as this node knows.
     pub age: Duration,
-    /// How long it has been in its stage.
+    /// The time since this node learned of the stage.
     pub in_stage: Duration,
 }
 
-/// When a roll-out was heard of.
+/// When a roll-out and its stage became known.
 #[derive(Clone, Copy, Debug)]
-struct Since {
+struct Times {
     order: u64,
-    ordered: Instant,
-    stage: Instant,
+    ordered_at: Instant,
+    stage_at: Instant,
 }
 
-/// An answer of a target, as it is weighed.
+/// An answer of a target, as evidence about its release.
 #[derive(Clone, Copy, Debug)]
 pub struct Answer<'a> {
-    /// Its route.
+    /// The route of the request.
     pub route: &'a Name,
-    /// Whether the target says that it failed.
+    /// Whether the target reported a failure.
     pub is_fault: bool,
-    /// How long it took.
+    /// The run time.
     pub ran: Duration,
-    /// How long targets usually take, as far as is known.
+    /// The usual run time, if it is known.
     pub usual: Option<Duration>,
 }
 
@@ -124,8 +125,8 @@
 }
 
 impl Rollouts {
-    /// Returns a state that knows of no order. Without a `share` there are no roll-outs, and
-    /// releases are not told apart.
+    /// Returns an instance that knows of no order. Without a `share`, roll-outs are disabled
+    /// and all releases are treated alike.
     pub fn new(share: Option<f64>) -> Self {
         Self {
             share,
@@ -134,89 +135,95 @@
         }
     }
 
-    /// Takes in what became of an order; returns whether that is news.
+    /// Merges a roll-out that was received; returns whether its order or stage is newer than
+    /// the one known before.
     ///
-    /// `age` is how long ago it was given, as far as is known.
-    pub fn take(&self, told: Rollout, age: Duration, now: Instant) -> bool {
+    /// `age` is the time since the order was given, as far as is known.
+    pub fn merge(&self, received: Rollout, age: Duration, now: Instant) -> bool {
         if self.share.is_none() {
             return false;
         }
         let mut state = self.state.lock();
-        let (service, order, stage) = (told.service.clone(), told.order, told.stage);
-        if !state.book.merge(told) {
-            let held = state.book.get(&service);
-            let is_overtaken = held.is_some_and(|held| {
-                held.stage.is_final() && (order, stage) < (held.order, held.stage)
+        let (service, order, stage) = (received.service.clone(), received.order, received.stage);
+        if !state.latest.merge(received) {
+            let known = state.latest.get(&service);
+            let is_late = known.is_some_and(|known| {
+                known.stage.is_final() && (order, stage) < (known.order, known.stage)
             });
-            if is_overtaken && !state.overtaken.contains(&service) {
-                state.overtaken.push(service);
+            if is_late && !state.republish.contains(&service) {
+                state.republish.push(service);
                 self.changed.notify_one();
             }
             return false;
         }
-        let held = state.since.get(&service).filter(|held| held.order == order);
-        let ordered = match held {
-            Some(held) => held.ordered,
+        let known = state
+            .times
+            .get(&service)
+            .filter(|known| known.order == order);
+        let ordered_at = match known {
+            Some(known) => known.ordered_at,
             None => now.checked_sub(age).unwrap_or(now),
         };
-        let since = Since {
+        let times = Times {
             order,
-            ordered,
-            stage: now,
+            ordered_at,
+            stage_at: now,
         };
-        state.since.insert(service, since);
+        state.times.insert(service, times);
         drop(state);
         self.changed.notify_one();
         true
     }
 
-    /// Returns what became of the latest order of each service.
+    /// Returns the latest roll-out of each service.
     pub fn all(&self) -> Vec<Rollout> {
-        self.state.lock().book.iter().cloned().collect()
+        self.state.lock().latest.iter().cloned().collect()
     }
 
-    /// Returns, once each, the roll-outs that have ended and of which an earlier stage was
-    /// told afterwards: a node that was cut off wrote late, and whoever starts anew would
-    /// read that last.
-    pub fn overtaken(&self) -> Vec<Rollout> {
+    /// Returns the ended roll-outs that have to be published again, and clears their list.
+    ///
+    /// They are those for which an earlier stage was received after their end: a partitioned
+    /// node wrote it late, and a node that starts would read it last.
+    pub fn due_for_republish(&self) -> Vec<Rollout> {
         let mut state = self.state.lock();
-        let services = std::mem::take(&mut state.overtaken);
-        let held = services
+        let services = std::mem::take(&mut state.republish);
+        let rollouts = services
             .iter()
-            .filter_map(|service| state.book.get(service));
-        held.cloned().collect()
+            .filter_map(|service| state.latest.get(service));
+        rollouts.cloned().collect()
     }
 
-    /// Notes that the end of a roll-out is to be told again.
-    pub fn retell(&self, service: &Name) {
-        self.state.lock().overtaken.push(service.clone());
+    /// Schedules the end of a roll-out to be published again.
+    pub fn republish(&self, service: &Name) {
+        self.state.lock().republish.push(service.clone());
         self.changed.notify_one();
     }
 
-    /// Returns the latest roll-outs.
-    pub fn known(&self, now: Instant) -> Vec<Known> {
+    /// Returns the latest roll-out of each service, with its age and the time in its stage.
+    pub fn tracked(&self, now: Instant) -> Vec<Tracked> {
         let state = self.state.lock();
-        let aged = state.book.iter().filter_map(|rollout| {
-            let since = state.since.get(&rollout.service)?;
-            Some(Known {
+        let tracked = state.latest.iter().filter_map(|rollout| {
+            let times = state.times.get(&rollout.service)?;
+            Some(Tracked {
                 rollout: rollout.clone(),
-                age: now - since.ordered,
-                in_stage: now - since.stage,
+                age: now - times.ordered_at,
+                in_stage: now - times.stage_at,
             })
         });
-        aged.collect()
+        tracked.collect()
     }
 
-    /// Returns which targets of a service a request may go to, the first choice first.
+    /// Returns the subsets of a service's targets to which a request may go, in order of
+    /// preference. `may_try` states whether the request may go to a target on trial.
     ///
-    /// Where the first is a trial, it is counted as one request of the trial's share.
+    /// If the first subset is a trial, the request is taken from the trial's budget.
     pub fn lanes(&self, service: &Name, table: &Table, may_try: bool) -> [Option<Lane>; 2] {
         let Some(share) = self.share else {
             return [Some(Lane::All), None];
         };
         let mut state = self.state.lock();
-        let Some(rollout) = state.book.get(service) else {
-            return [Some(unordered(service, table)), None];
+        let Some(rollout) = state.latest.get(service) else {
+            return [Some(without_order(service, table)), None];
         };
         let from = rollout.from.clone().map(Lane::Release);
         let to = || Some(Lane::Release(rollout.to.clone()));
@@ -225,11 +232,11 @@
             Stage::Moving => [to(), from],
             Stage::Trial if may_try => {
                 let rollout = rollout.clone();
-                if !state.deal.take(service) {
+                if !state.budget.spend(service) {
                     return [from, None];
                 }
                 drop(state);
-                let nodes = deal::tried(table, &rollout, share * deal::PART);
+                let nodes = canary::nodes(table, &rollout, share * canary::TRIAL_FRACTION);
                 [Some(Lane::Trial(nodes)), from]
             }
             Stage::Ordered if from.is_none() => {
@@ -240,13 +247,13 @@
         }
     }
 
-    /// Notes that a lane which was counted as a trial was not taken.
+    /// Returns a request to the trial's budget, since no target of the subset was chosen.
     pub fn give_back(&self, service: &Name) {
-        self.state.lock().deal.give_back(service);
+        self.state.lock().budget.refund(service);
     }
 
-    /// Notes how a try at a target of a service ended: whether it arrived, and its answer if
-    /// there is one.
+    /// Records how an attempt at a target of a service ended: whether the request arrived,
+    /// and the answer if there is one.
     pub fn note_try(
         &self,
         target: Option<&Target>,
@@ -257,48 +264,48 @@
         let Some(share) = self.share else { return };
         let mut state = self.state.lock();
         let release = target.and_then(|target| target.release.as_ref());
-        let standing = release.and_then(|release| state.book.standing(service, release));
-        let open = state.book.get(service).filter(|r| !r.stage.is_final());
+        let standing = release.and_then(|release| state.latest.standing(service, release));
+        let open = state.latest.get(service).filter(|r| !r.stage.is_final());
         let is_new = open.is_some_and(|rollout| release == Some(&rollout.to));
         if has_arrived && open.is_some() {
-            state.deal.arrive(service, share * deal::PART);
+            state.budget.add(service, share * canary::TRIAL_FRACTION);
         }
         if standing == Some(Standing::Trial) && !has_arrived {
-            state.deal.give_back(service);
+            state.budget.refund(service);
         }
         if let Some(answer) = answer.filter(|_| !is_new) {
-            state.usual.note(answer.route, answer.is_bad());
+            state.baseline.record(answer.route, answer.is_bad());
         }
     }
 
-    /// Returns whether a release of a service is being tried, with a share of its requests
-    /// or with all.
+    /// Returns whether a new release of a service gets a share of its requests, or all, and
+    /// can still be rolled back.
     pub fn is_trying(&self, service: &Name) -> bool {
-        self.share.is_some() && self.state.lock().tried(service).is_some()
+        self.share.is_some() && self.state.lock().evaluated(service).is_some()
     }
 
-    /// Returns the share of bad answers that this node sees on a route of the releases that
-    /// serve.
+    /// Returns the share of bad answers on a route, as this node sees it of the serving
+    /// releases.
     pub fn usual(&self, route: &Name) -> f64 {
         match self.share {
-            Some(_) => self.state.lock().usual.share(route),
+            Some(_) => self.state.lock().baseline.share(route),
             None => 0.0,
         }
     }
 
-    /// Forgets the routes that are gone.
-    pub fn retain(&self, is_there: impl Fn(&Name) -> bool) {
-        self.state.lock().usual.retain(is_there);
+    /// Forgets the routes that no longer exist.
+    pub fn retain(&self, exists: impl Fn(&Name) -> bool) {
+        self.state.lock().baseline.retain(exists);
     }
 
-    /// Returns what the target here may be sent.
+    /// Returns which requests this node's target may get.
     pub fn standing(&self, target: &Target, table: &Table) -> Standing {
         let Some(release) = target.release.as_ref().filter(|_| self.share.is_some()) else {
             return Standing::Serves;
         };
         let state = self.state.lock();
-        let Some(rollout) = state.book.get(&target.service) else {
-            return match unordered(&target.service, table) {
+        let Some(rollout) = state.latest.get(&target.service) else {
+            return match without_order(&target.service, table) {
                 Lane::Release(main) if main != *release => Standing::Barred,
                 _ => Standing::Serves,
             };
@@ -312,40 +319,42 @@
         }
     }
 
-    /// Weighs an answer of the target here, against the share of bad ones that its sender
-    /// sees usually, where its release is on trial.
+    /// Counts an answer of this node's target towards the trial of its release, if there is
+    /// one. `baseline` is the share of bad answers that the answer's sender sees of the
+    /// serving release.
     ///
-    /// Returns the verdict on it if that changed, with the answers so far and the bad ones.
-    pub fn weigh(
+    /// Returns the verdict on the target if it changed, with the numbers of all answers and
+    /// of bad ones so far.
+    pub fn assess(
         &self,
         target: &Target,
         answer: &Answer<'_>,
-        usual: f64,
+        baseline: f64,
     ) -> Option<(Verdict, (u32, u32))> {
         let release = target.release.as_ref().filter(|_| self.share.is_some())?;
         let mut state = self.state.lock();
-        let rollout = state.tried(&target.service)?;
+        let rollout = state.evaluated(&target.service)?;
         if *release != rollout.to {
             return None;
         }
         let order = rollout.order;
-        let is_same = |(held, instance, _): &mut (u64, Instance, Trial)| {
-            *held == order && *instance == target.instance
+        let is_current = |(of_order, instance, _): &mut (u64, Instance, Trial)| {
+            *of_order == order && *instance == target.instance
         };
-        if !state.trial.as_mut().is_some_and(is_same) {
+        if !state.trial.as_mut().is_some_and(is_current) {
             state.trial = Some((order, target.instance.clone(), Trial::default()));
         }
         let (_, _, trial) = state.trial.as_mut()?;
-        let changed = trial.note(answer.route, usual, answer.is_bad());
-        let is_failing = trial.verdict().filter(|_| changed)?;
-        Some((Verdict { order, is_failing }, trial.answers()))
+        let has_changed = trial.record(answer.route, baseline, answer.is_bad());
+        let is_failing = trial.verdict().filter(|_| has_changed)?;
+        Some((Verdict { order, is_failing }, trial.counts()))
     }
 }
 
-/// Returns the targets of a service that serve while no order was ever heard of: those of
-/// the release that most are of. Targets of another one may stand there before the order
-/// which names them has come here.
-fn unordered(service: &Name, table: &Table) -> Lane {
+/// Returns the serving targets of a service for which no order is known: those of the release
+/// that most of the service's targets have. Targets of another release may be there already,
+/// before this node learns of the order that names their release.
+fn without_order(service: &Name, table: &Table) -> Lane {
     if !table.has_releases(service) {
         return Lane::All;
     }
--- a/src/state/rollout.rs
+++ b/src/state/rollout.rs
@@ -1,12 +1,13 @@
-//! Roll-outs: a service's requests move from targets of one release to those of another.
+//! Roll-outs: the requests of a service move from the targets of one release to those of
+//! another.
 //!
-//! An operator's order names the release that is to take over and how long that may take.
-//! What becomes of an order is told from node to node as a [`Rollout`], whose [`Stage`] only
-//! ever goes forward; a [`Book`] holds the latest of each service.
+//! An operator's order names the new release and how long the roll-out may take. Nodes pass
+//! the state of an order on as a [`Rollout`], whose [`Stage`] only moves forward. [`Latest`]
+//! holds the latest roll-out of each service.
 //!
 //! ```
 //! use rilltrack::{
-//!     state::rollout::{Book, Rollout, Stage, Standing},
+//!     state::rollout::{Latest, Rollout, Stage, Standing},
 //!     unit::Span,
 //! };
 //!
@@ -21,11 +22,11 @@
 //!     stage: Stage::Ordered,
 //!     began: 1_791_758_000_000,
 //! };
-//! let mut book = Book::default();
-//! book.merge(Rollout { stage: Stage::Trial, ..ordered.clone() });
-//! assert!(!book.merge(ordered), "a stage never goes back");
-//! assert_eq!(book.standing(&service, &new), Some(Standing::Trial));
-//! assert_eq!(book.standing(&service, &old), Some(Standing::Serves));
+//! let mut latest = Latest::default();
+//! latest.merge(Rollout { stage: Stage::Trial, ..ordered.clone() });
+//! assert!(!latest.merge(ordered), "an earlier stage is ignored");
+//! assert_eq!(latest.standing(&service, &new), Some(Standing::Trial));
+//! assert_eq!(latest.standing(&service, &old), Some(Standing::Serves));
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
@@ -39,38 +40,40 @@
     words::words,
 };
 
-/// What became of an operator's order to move a service to another release.
+/// An operator's order to move a service to another release, and its stage.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Rollout {
     /// The service.
     pub service: Name,
-    /// The place of the order in the store; a later order has a greater one.
+    /// The offset of the order in the store. A later order has a greater offset.
     pub order: u64,
-    /// The release that serves until the other one takes over, if it is known.
+    /// The release that serves until the new one does, if it is known.
     pub from: Option<Release>,
-    /// The release that is to take over.
+    /// The new release.
     pub to: Release,
-    /// How long that may take, from the order on.
+    /// How long the roll-out may take, from the time of the order.
     pub duration: Span,
-    /// How far it has come.
+    /// The stage that the roll-out has reached.
     pub stage: Stage,
-    /// The time of day at which a node first heard of the order, in milliseconds since
-    /// 1970: all that a node which starts anew has to tell how much of the time is left.
+    /// The wall-clock time at which a node first read the order, in milliseconds since 1970.
+    /// A node that has just started knows the remaining time only from this.
     pub began: u64,
 }
 
-/// How far a roll-out has come. Of two tellings of one order the later stage counts.
+/// The stage of a roll-out. Of two stages of one order the later one applies; a final stage
+/// is never replaced.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub enum Stage {
-    /// Ordered; targets of the new release get nothing yet.
+    /// The order is known; targets of the new release get no requests yet.
     Ordered,
-    /// A few of them get a small share of the requests.
+    /// A few targets of the new release get a small share of the requests.
     Trial,
-    /// They get all, as long as the others are still there.
+    /// Targets of the new release get all requests; those of the old one are still there, as
+    /// a fallback and for a rollback.
     Moving,
-    /// The new release serves, for good.
+    /// Final: the new release serves.
     Completed,
-    /// The new release gets nothing more, for good.
+    /// Final: the new release gets no requests.
     RolledBack,
 }
 
@@ -83,31 +86,32 @@
     RolledBack: "rolled-back",
 }
 
-/// A text that is not a stage.
+/// The error for a text that names no stage.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("`{0}` is not a stage: ordered, trial, moving, completed or rolled-back")]
 pub struct Error(String);
 
 impl Stage {
-    /// Returns whether no other stage follows.
+    /// Returns whether no other stage follows this one.
     pub fn is_final(self) -> bool {
         matches!(self, Self::Completed | Self::RolledBack)
     }
 }
 
-/// What a target may be sent, by its release.
+/// Which requests a target may get, by its release.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Standing {
-    /// Whatever its service gets.
+    /// Any request for its service.
     Serves,
-    /// A small share of it.
+    /// A small share of the requests for its service.
     Trial,
-    /// Nothing.
+    /// No requests.
     Barred,
 }
 
 impl Rollout {
-    /// Returns the release that serves for good, as far as this order decides it.
+    /// Returns the release that serves if this roll-out goes no further: the new one once the
+    /// roll-out is completed, the old one before that, if it is known.
     pub fn serving(&self) -> Option<&Release> {
         match self.stage {
             Stage::Completed => Some(&self.to),
@@ -115,7 +119,7 @@
         }
     }
 
-    /// Returns what a target of `release` may be sent.
+    /// Returns which requests a target of `release` may get.
     pub fn standing(&self, release: &Release) -> Standing {
         if *release == self.to {
             return match self.stage {
@@ -124,15 +128,16 @@
                 Stage::Moving | Stage::Completed => Standing::Serves,
             };
         }
-        let is_left_behind = self.stage == Stage::Completed;
-        let is_of_another = self.from.as_ref().is_some_and(|from| from != release);
-        if is_left_behind || is_of_another {
+        let is_replaced = self.stage == Stage::Completed;
+        let is_unrelated = self.from.as_ref().is_some_and(|from| from != release);
+        if is_replaced || is_unrelated {
             Standing::Barred
         } else {
             Standing::Serves
         }
     }
 
+    /// Returns the key by which one roll-out of a service is later than another.
     fn rank(&self) -> (u64, Stage) {
         (self.order, self.stage)
     }
@@ -140,28 +145,29 @@
 
 /// The latest roll-out of each service.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct Latest {
     rollouts: BTreeMap<Name, Rollout>,
 }
 
-impl Book {
-    /// Takes in what became of an order, if it is later than what is held.
+impl Latest {
+    /// Replaces the roll-out of a service by a received one if that is later: if it has a
+    /// later order, or the same order at a later stage while the known stage is not final.
     ///
-    /// Returns whether it was.
-    pub fn merge(&mut self, mut told: Rollout) -> bool {
-        if let Some(held) = self.rollouts.get(&told.service) {
-            let is_final_already = held.order == told.order && held.stage.is_final();
-            if is_final_already || held.rank() >= told.rank() {
+    /// Returns whether it was later.
+    pub fn merge(&mut self, mut received: Rollout) -> bool {
+        if let Some(known) = self.rollouts.get(&received.service) {
+            let is_final_already = known.order == received.order && known.stage.is_final();
+            if is_final_already || known.rank() >= received.rank() {
                 return false;
             }
-            if told.from.is_none() {
-                told.from = match held.order == told.order {
-                    true => held.from.clone(),
-                    false => held.serving().cloned(),
+            if received.from.is_none() {
+                received.from = match known.order == received.order {
+                    true => known.from.clone(),
+                    false => known.serving().cloned(),
                 };
             }
         }
-        self.rollouts.insert(told.service.clone(), told);
+        self.rollouts.insert(received.service.clone(), received);
         true
     }
 
@@ -170,13 +176,13 @@
         self.rollouts.get(service)
     }
 
-    /// Returns what a target of a service may be sent, by its release; nothing where no
-    /// order was ever heard of.
+    /// Returns which requests a target of a service may get, by its release, or `None` if no
+    /// order for the service is known.
     pub fn standing(&self, service: &Name, release: &Release) -> Option<Standing> {
         self.get(service).map(|rollout| rollout.standing(release))
     }
 
-    /// Returns the latest roll-outs of all services.
+    /// Returns the latest roll-outs of all services, in order of the services' names.
     pub fn iter(&self) -> impl Iterator<Item = &Rollout> {
         self.rollouts.values()
     }
