--- a/src/coordination/link.rs
+++ b/src/coordination/link.rs
@@ -1,4 +1,6 @@
-//! The ways out of a node, as closures.
+//! The interfaces of a node to peers, the log, the store and the platform's encoding.
+//!
+//! All are closures, so that this layer opens no sockets and knows no outer format.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -22,105 +24,109 @@
 
 pub use crate::protocol::news::Stream;
 
-/// A result that comes later.
-pub type Later<T> = BoxFuture<'static, Result<T, Error>>;
+/// A future of a result of this layer.
+pub type ResultFuture<T> = BoxFuture<'static, Result<T, Error>>;
 
-/// Sends a frame to the node at an address and returns its reply, within a
-/// span of time.
-pub type Call = Arc<dyn Fn(SocketAddr, Frame, Span) -> Later<Reply> + Send + Sync>;
+/// Sends a frame to the node at an address and returns its reply. The span is
+/// the timeout.
+pub type Call = Arc<dyn Fn(SocketAddr, Frame, Span) -> ResultFuture<Reply> + Send + Sync>;
 
-/// Reads a stream from an offset on, waiting at the log up to a span.
-pub type Read = Arc<dyn Fn(Name, u64, Span) -> Later<Batch> + Send + Sync>;
+/// Reads the records of a stream from an offset on. The span is how long the log
+/// waits for the first record.
+pub type Read = Arc<dyn Fn(Name, u64, Span) -> ResultFuture<Batch> + Send + Sync>;
 
 /// Appends a record to a stream and returns its offset.
-pub type Append = Arc<dyn Fn(Name, Bytes) -> Later<u64> + Send + Sync>;
+pub type Append = Arc<dyn Fn(Name, Bytes) -> ResultFuture<u64> + Send + Sync>;
 
 /// The platform's log.
 #[derive(Clone)]
 pub struct Log {
-    /// See [`Read`].
+    /// Reads a stream.
     pub read: Read,
-    /// See [`Append`].
+    /// Appends to a stream.
     pub append: Append,
 }
 
-/// The platform's store, where it keeps the newest record of each key.
+/// The platform's store, which keeps the newest record of each key.
 #[derive(Clone)]
 pub struct Store {
     /// Returns the newest record of each key of a stream.
-    pub newest: Arc<dyn Fn(Stream) -> Later<Records> + Send + Sync>,
-    /// Returns the records of a stream from an offset on, waiting up to a span
-    /// for the first. [`Error::Expired`] if they are not kept any more.
-    pub tail: Arc<dyn Fn(Stream, u64, Span) -> Later<Records> + Send + Sync>,
-    /// Writes what this node tells the others, into the stream of the members: a key and
-    /// its record.
-    pub put: Arc<dyn Fn(String, Bytes) -> Later<()> + Send + Sync>,
-    /// Returns what an operator reads of the latest order for a service.
-    pub said: Arc<dyn Fn(Name) -> Later<Said> + Send + Sync>,
-    /// Writes a word if the row of words still ends there; returns whether it did.
-    pub say: Arc<dyn Fn(Word, u64) -> Later<bool> + Send + Sync>,
+    pub newest: Arc<dyn Fn(Stream) -> ResultFuture<Records> + Send + Sync>,
+    /// Returns the records of a stream from an offset on. The span is how long the
+    /// store waits for the first record. Fails with [`Error::Expired`] if the store no
+    /// longer keeps them.
+    pub tail: Arc<dyn Fn(Stream, u64, Span) -> ResultFuture<Records> + Send + Sync>,
+    /// Writes a key and its record to the stream of the members.
+    pub put: Arc<dyn Fn(String, Bytes) -> ResultFuture<()> + Send + Sync>,
+    /// Returns the status, for operators, of the latest roll-out order for a service.
+    pub said: Arc<dyn Fn(Name) -> ResultFuture<Said> + Send + Sync>,
+    /// Writes the status of an order if the stream of statuses still ends at the given
+    /// offset. Returns whether the status was written.
+    pub say: Arc<dyn Fn(Word, u64) -> ResultFuture<bool> + Send + Sync>,
 }
 
-/// What an operator reads of an order.
+/// The status of a roll-out order, for operators.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Said {
-    /// The word, if there is one.
+    /// The status, if one was written.
     pub word: Option<Word>,
-    /// Where the row of all words ends.
+    /// The end offset of the stream of all statuses.
     pub end: u64,
 }
 
 /// Records of a stream.
 #[derive(Clone, Debug, Default)]
 pub struct Records {
-    /// The records, in order of their offsets.
+    /// The records, by ascending offset.
     pub records: Vec<Bytes>,
-    /// Orders for roll-outs that stand among the versions of the routes, with their offsets.
+    /// Roll-out orders found among the versions of the routes, with their offsets.
     pub orders: Vec<(u64, Bytes)>,
-    /// The offset of the record that comes next.
+    /// The offset of the next record, to read on from.
     pub next: u64,
 }
 
 /// Decodes a version of the routes.
 pub type DecodeRoutes = dyn Fn(&[u8]) -> Result<routing::Table, protocol::Error> + Send + Sync;
 
-/// Decodes an order for a roll-out.
+/// Decodes a roll-out order.
 pub type DecodeOrder = dyn Fn(&[u8]) -> Result<Order, protocol::Error> + Send + Sync;
 
-/// Decodes a call of a target: method, path and body.
+/// Decodes a call from a target, given its method, path and body.
 pub type DecodeCall =
     dyn Fn(&http::Method, &str, &[u8]) -> Result<announce::Message, protocol::Error> + Send + Sync;
 
-/// What the outside says, put into the product's terms.
+/// Decoders for the platform's encoding, its acknowledgement and its header names.
 #[derive(Clone)]
 pub struct Words {
-    /// Versions of the routes.
+    /// Decodes versions of the routes.
     pub routes: Arc<DecodeRoutes>,
-    /// Orders for roll-outs.
+    /// Decodes roll-out orders.
     pub order: Arc<DecodeOrder>,
-    /// Calls of a target.
+    /// Decodes calls from a target.
     pub announcement: Arc<DecodeCall>,
-    /// The body of an acknowledgement to a target.
+    /// The response body that acknowledges a call from a target.
     pub acknowledgement: Bytes,
-    /// The headers of callers and targets.
+    /// The header names that callers and targets use.
     pub dialect: Dialect,
 }
 
-/// Asks the node at an address for something it holds.
-pub type Ask = Arc<dyn Fn(SocketAddr, Question) -> Later<Bytes> + Send + Sync>;
+/// Sends a request to the node at an address and returns its encoded answer.
+pub type Ask = Arc<dyn Fn(SocketAddr, Question) -> ResultFuture<Bytes> + Send + Sync>;
 
-/// What a node may be asked for.
+/// A request from one node to another.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Question {
-    /// Its version of the routes: a [`Delta`](crate::state::routing::Delta) from
-    /// the version that the asker has; empty if it has none.
+    /// Asks for the version of the routes in force. The number is the version that the
+    /// requester has. The answer is a [`Delta`](crate::state::routing::Delta) from that
+    /// version. A node without a version answers with an error.
     Routes(u64),
-    /// The members that it knows and that the asker, whose table has these
-    /// [`marks`](crate::state::member::Table::marks), does not:
-    /// [`Members`](crate::protocol::news::Members).
+    /// Asks for the members that the requester lacks. The numbers are the
+    /// [`marks`](crate::state::member::Table::marks) of the requester's table. The answer
+    /// is a [`Members`](crate::protocol::news::Members).
     Members(Vec<u32>),
-    /// How far it is: [`Seen`](crate::protocol::news::Seen).
+    /// Asks for the version and the offsets that the node has reached. The answer is a
+    /// [`Seen`](crate::protocol::news::Seen).
     Seen,
-    /// To take in, and tell on, what another node read.
+    /// Delivers records that another node read, to apply and to relay.
     Take(News),
 }
--- a/src/coordination/local.rs
+++ b/src/coordination/local.rs
@@ -1,8 +1,8 @@
-//! The target on this host: what it said, and what was promised to it.
+//! The target on this host: its announced state, and the drain acknowledged to it.
 //!
-//! An acknowledged drain must hold whatever happens to this process. So what the
-//! target said is written to the store before it is acknowledged, and read from
-//! there before the gate opens in a new life.
+//! An acknowledged drain must survive a crash of this process. So a change that the
+//! target announces is written to the store before it is acknowledged, and a new
+//! incarnation of this node reads it from there before it opens the gate.
 
 use std::time::Instant;
 
@@ -14,37 +14,41 @@
     unit::Span,
 };
 
-/// Heartbeats that may be missed before a target is taken for gone. One is
-/// often late, and a wrong guess costs a whole target.
-const MISSED: u32 = 4;
+/// Heartbeats in a row that may be missing before a target is considered gone. Single
+/// heartbeats are often late, and a wrong decision takes a working target out of use.
+const MAX_MISSED_HEARTBEATS: u32 = 4;
 
-/// Former instances that are remembered, so that a late heartbeat of one
-/// is known as such. A host starts its target anew once in minutes.
-const FORMER: usize = 8;
+/// Former instances that are remembered, so that their late heartbeats are recognized.
+/// A host restarts its target once in minutes.
+const MAX_FORMER_INSTANCES: usize = 8;
 
-/// What is known of the target on this host.
+/// The state of the target on this host.
 #[derive(Debug)]
 pub struct Local {
-    heartbeat_every: Span,
-    recalled: bool,
+    heartbeat_interval: Span,
+    is_recalled: bool,
     current: Option<Current>,
     former: Vec<Former>,
 }
 
-/// An instance that another one took the place of, or that left.
+/// An instance that was replaced by another one, or that left.
 #[derive(Clone, Debug)]
 struct Former {
     instance: Instance,
-    /// Whether it said that it leaves. It stays gone then; one that was merely replaced
-    /// may have been replaced by a heartbeat that came late, of an older one.
+    /// Whether it announced that it leaves. If so, it never returns. An instance that was
+    /// only replaced may return: a late heartbeat of an older instance may have replaced
+    /// it.
     has_left: bool,
 }
 
+/// The instance that is taken for the running one.
 #[derive(Clone, Debug)]
 struct Current {
     target: Target,
+    /// The highest sequence number of its heartbeats.
     sequence: u64,
-    heard: Option<Instant>,
+    /// When its last heartbeat arrived. None if it is considered gone.
+    last_heartbeat: Option<Instant>,
 }
 
 impl Current {
@@ -52,46 +56,47 @@
         Self {
             target,
             sequence: 0,
-            heard: Some(now),
+            last_heartbeat: Some(now),
         }
     }
 }
 
-/// What changed by a message.
+/// The effect of a message from the target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// Nothing that others need to know.
+    /// Nothing changed that other nodes need to know.
     Nothing,
-    /// What is told to others: it must be written down before the message is
-    /// acknowledged.
+    /// The state that this node publishes changed. It must be written to the store
+    /// before the message is acknowledged.
     Told,
 }
 
 impl Local {
-    /// Returns a state that knows no target; each sends a heartbeat as often as
-    /// this.
-    pub fn new(heartbeat_every: Span) -> Self {
+    /// Returns the state without a target. Targets send heartbeats at the given interval.
+    pub fn new(heartbeat_interval: Span) -> Self {
         Self {
-            heartbeat_every,
-            recalled: false,
+            heartbeat_interval,
+            is_recalled: false,
             current: None,
             former: Vec::new(),
         }
     }
 
-    /// Notes how often a target sends a heartbeat from now on.
-    pub fn set_heartbeat(&mut self, every: Span) {
-        self.heartbeat_every = every;
+    /// Sets the interval at which targets send heartbeats.
+    pub fn set_heartbeat(&mut self, interval: Span) {
+        self.heartbeat_interval = interval;
     }
 
-    /// Takes in what an earlier life of this process wrote down, if any.
+    /// Merges the record that an earlier incarnation of this node wrote to the store, if
+    /// there is one.
     ///
-    /// A target that did not drain then counts as heard of now: most lives of this
-    /// process are shorter than its target's, and to wait for the next heartbeat costs
-    /// a second of a target that can serve. If it is gone, or another one is there,
-    /// what is sent to it comes back as not run and [`Local::doubt`] closes the gate.
+    /// A recorded target that is not draining is treated as if its heartbeat had arrived
+    /// now. Most incarnations of this node end before their target does, and waiting for
+    /// the next heartbeat would leave a working target unused for a second. If the target
+    /// is gone, or another instance runs at its address, requests to it fail as not run
+    /// and [`Local::doubt`] closes the gate.
     pub fn recall(&mut self, written: Option<&Member>, now: Instant) {
-        if std::mem::replace(&mut self.recalled, true) {
+        if std::mem::replace(&mut self.is_recalled, true) {
             return;
         }
         let Some(target) = written.and_then(|member| member.targets.first()) else {
@@ -102,13 +107,13 @@
                 current.target.draining |= target.draining;
                 current.target.verdict = current.target.verdict.or(target.verdict);
             }
-            // What was heard since the start was a late word of an earlier life.
+            // The heartbeat received since the start was a late one of an older instance.
             Some(current) if current.target.instance.is_before(&target.instance) => {
                 self.replace(Some(Current::recalled(target.clone(), now)));
             }
             Some(_) => self.retire(target.instance.clone(), target.draining),
             None => {
-                // A leave may not have said which life it meant.
+                // The leave may have named the instance by its id alone, without its start.
                 let mut former = self.former.iter();
                 let has_left = former.any(|f| f.instance.may_be(&target.instance));
                 let mut target = target.clone();
@@ -118,32 +123,33 @@
         }
     }
 
-    /// Takes a heartbeat in.
+    /// Applies a heartbeat, and returns its effect.
     pub fn hear(&mut self, heartbeat: &Heartbeat, now: Instant) -> Change {
-        // Targets that say when they started always do; what does not is another writer's.
-        let says = |instance: &Instance| instance.born().is_some();
-        let held = self.current.as_ref().map(|c| &c.target.instance);
-        if held.is_some_and(says) && !says(&heartbeat.instance) {
+        // A target that reports its start time does so in every heartbeat. A heartbeat
+        // without one comes from another sender.
+        let has_start_time = |instance: &Instance| instance.born().is_some();
+        let current = self.current.as_ref().map(|c| &c.target.instance);
+        if current.is_some_and(has_start_time) && !has_start_time(&heartbeat.instance) {
             return Change::Nothing;
         }
-        // A process that was started anew knows no former instance but by what it hears:
-        // a heartbeat that a cut delayed may come from one that has crashed since, and
-        // must not shut out the one that is there.
-        let there = self.current.as_ref().filter(|c| c.heard.is_some());
-        let there = there.map(|current| &current.target.instance);
-        // One life follows the other, so the one that started first has ended. Only where
-        // nobody is heard any more is it believed: clocks step, and a target that was shut
-        // out by one would stay so.
-        if there.is_some_and(|there| heartbeat.instance.is_before(there)) {
+        // A restarted node knows former instances only from the heartbeats that it
+        // receives. A heartbeat delayed by a network partition may come from an instance
+        // that has crashed since, and must not displace the running one.
+        let running = self.current.as_ref().filter(|c| c.last_heartbeat.is_some());
+        let running = running.map(|current| &current.target.instance);
+        // Instances run one after the other, so the one that started first has ended. An
+        // older start time is accepted only when no instance sends heartbeats: the clock
+        // may have stepped back, and the target would stay rejected forever.
+        if running.is_some_and(|running| heartbeat.instance.is_before(running)) {
             return Change::Nothing;
         }
-        let is_older = there.is_some_and(|there| !there.is_before(&heartbeat.instance));
+        let may_be_older = running.is_some_and(|running| !running.is_before(&heartbeat.instance));
         match self.former(&heartbeat.instance) {
-            Some(former) if former.has_left || is_older => return Change::Nothing,
+            Some(former) if former.has_left || may_be_older => return Change::Nothing,
             Some(_) => self.former.retain(|f| f.instance != heartbeat.instance),
             None => {}
         }
-        let told = Target {
+        let announced = Target {
             service: heartbeat.service.clone(),
             address: heartbeat.address,
             http2: false,
@@ -155,20 +161,20 @@
         };
         match &mut self.current {
             Some(current) if current.target.instance.may_be(&heartbeat.instance) => {
-                current.heard = Some(now);
+                current.last_heartbeat = Some(now);
                 if heartbeat.sequence < current.sequence {
                     return Change::Nothing;
                 }
                 current.sequence = heartbeat.sequence;
-                let told = Target {
-                    // Once it leaves it stays gone; a late word changes nothing.
-                    draining: told.draining || current.target.draining,
+                let announced = Target {
+                    // A drain is final; a late heartbeat does not revoke it.
+                    draining: announced.draining || current.target.draining,
                     verdict: current.target.verdict,
-                    ..told
+                    ..announced
                 };
-                let changed = current.target != told;
-                current.target = told;
-                if changed {
+                let has_changed = current.target != announced;
+                current.target = announced;
+                if has_changed {
                     Change::Told
                 } else {
                     Change::Nothing
@@ -176,16 +182,16 @@
             }
             _ => {
                 self.replace(Some(Current {
-                    target: told,
+                    target: announced,
                     sequence: heartbeat.sequence,
-                    heard: Some(now),
+                    last_heartbeat: Some(now),
                 }));
                 Change::Told
             }
         }
     }
 
-    /// Notes that an instance is gone or about to be.
+    /// Records that an instance has left or is about to leave, and returns the effect.
     pub fn leave(&mut self, instance: &Instance) -> Change {
         match &mut self.current {
             Some(current) if current.target.instance.may_be(instance) => {
@@ -196,8 +202,8 @@
                     Change::Told
                 }
             }
-            // Another instance, or one of which this life has not heard: a late
-            // heartbeat of it must open nothing.
+            // Another instance, or one unknown to this incarnation of the node: a late
+            // heartbeat of it must not open the gate.
             _ => {
                 self.retire(instance.clone(), true);
                 Change::Nothing
@@ -205,62 +211,65 @@
         }
     }
 
-    /// Returns whether what an earlier life wrote down is known. Before that, a
-    /// drain can't be told from one of an instance that nobody knows.
+    /// Returns whether the record of the earlier incarnation has been merged. Until then,
+    /// a drain of the recorded instance looks like a drain of an unknown one.
     pub fn is_recalled(&self) -> bool {
-        self.recalled
+        self.is_recalled
     }
 
-    /// Returns whether the target fell silent since it was last looked at.
+    /// Marks the target as gone if it missed too many heartbeats. Returns whether this
+    /// call marked it.
     pub fn fell_silent(&mut self, now: Instant) -> bool {
-        let patience = self.heartbeat_every.duration() * MISSED;
+        let max_silence = self.heartbeat_interval.duration() * MAX_MISSED_HEARTBEATS;
         let Some(current) = &mut self.current else {
             return false;
         };
-        let silent = current.heard.is_some_and(|heard| now - heard > patience);
-        if silent {
-            current.heard = None;
+        let is_silent = current
+            .last_heartbeat
+            .is_some_and(|last_heartbeat| now - last_heartbeat > max_silence);
+        if is_silent {
+            current.last_heartbeat = None;
         }
-        silent
+        is_silent
     }
 
-    /// Takes an instance for gone until it is heard of again: nothing answers at its
-    /// address, or another instance does. Returns whether that is news.
+    /// Considers an instance gone until its next heartbeat, because nothing answers at its
+    /// address or another instance does. Returns whether it was considered running.
     pub fn doubt(&mut self, instance: &Instance) -> bool {
         let current = self.current.as_mut();
-        let held = current.filter(|current| current.target.instance == *instance);
-        held.is_some_and(|current| current.heard.take().is_some())
+        let matching = current.filter(|current| current.target.instance == *instance);
+        matching.is_some_and(|current| current.last_heartbeat.take().is_some())
     }
 
-    /// Returns the target here, if one was heard of.
+    /// Returns the target on this host, if one is known.
     pub fn target(&self) -> Option<&Target> {
         self.current.as_ref().map(|current| &current.target)
     }
 
-    /// Notes how the target did on trial.
+    /// Records the verdict on the target's release, from its canary stage.
     pub fn judge(&mut self, verdict: Verdict) {
         if let Some(current) = &mut self.current {
             current.target.verdict = Some(verdict);
         }
     }
 
-    /// Returns what others are told of the target.
+    /// Returns the target as published to other nodes; empty if there is none.
     pub fn told(&self) -> Vec<Target> {
         self.current.iter().map(|c| c.target.clone()).collect()
     }
 
-    /// Returns the target that the gate may open to, if any.
+    /// Returns the target for which the gate may open, if there is one.
     pub fn open(&self) -> Option<gate::Target> {
-        let current = self.current.as_ref().filter(|_| self.recalled)?;
-        let is_there = current.heard.is_some() && !current.target.draining;
-        is_there.then(|| gate::Target {
+        let current = self.current.as_ref().filter(|_| self.is_recalled)?;
+        let is_available = current.last_heartbeat.is_some() && !current.target.draining;
+        is_available.then(|| gate::Target {
             instance: current.target.instance.clone(),
             address: current.target.address,
             slots: current.target.slots,
         })
     }
 
-    /// Returns whether the target has said that it leaves.
+    /// Returns whether the target has announced that it leaves.
     pub fn is_leaving(&self) -> bool {
         self.current.as_ref().is_some_and(|c| c.target.draining)
     }
@@ -281,7 +290,7 @@
             Some(former) => former.has_left |= has_left,
             None => self.former.push(Former { instance, has_left }),
         }
-        let beyond = self.former.len().saturating_sub(FORMER);
-        self.former.drain(..beyond);
+        let excess = self.former.len().saturating_sub(MAX_FORMER_INSTANCES);
+        self.former.drain(..excess);
     }
 }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,35 +1,36 @@
-//! Coordination: how nodes act together, and what each decides on requests.
+//! Coordination: how nodes cooperate, and how each node decides on requests.
 //!
-//! Duties, each with its own thread:
+//! A daemon on a platform with a log runs these duties, each on its own thread:
 //!
-//! * [`apply`]: applies records and puts views in force;
-//! * [`gossip`]: keeps the table of members;
-//! * [`follow`]: reads the log for the failure domain and spreads records;
+//! * [`apply`]: applies log records and publishes views;
+//! * [`gossip`]: maintains the table of members;
+//! * [`follow`]: reads the log for the failure domain and distributes its records.
 //!
-//! and what they and the request path are made of:
+//! The duties and the request path are built from:
 //!
-//! * [`node`]: what all duties of one daemon share;
-//! * [`link`]: the ways out to peers and the log, as closures;
-//! * [`rank`]: who reads, relays and writes;
-//! * [`scatter`]: one message to many nodes, with their count back;
-//! * [`catchup`]: how a node that is behind gets ahead;
-//! * [`pick`], [`health`], [`budget`]: where a request goes, and again;
-//! * [`admit`], [`door`], [`once`]: what a target is given, and at most once.
+//! * [`node`]: the state that all duties of one daemon share;
+//! * [`link`]: the interfaces to peers and the log, as closures;
+//! * [`rank`]: which nodes read, relay and write;
+//! * [`scatter`]: sends one message to many nodes and counts their replies;
+//! * [`catchup`]: how a node that is behind catches up;
+//! * [`pick`], [`health`], [`budget`]: target selection and retries;
+//! * [`admit`], [`door`], [`once`]: admission to a target, at most once per key.
 //!
-//! A host process on a platform with a store of its own is made of fewer parts:
+//! A host process on a platform with its own store uses other parts:
 //!
-//! * [`host`]: what its duties share;
-//! * [`source`]: takes whole versions and members from the store, or from peers;
-//! * [`watch`], [`spread`]: who reads the store for its failure domain, and how the
-//!   others hear of it;
-//! * [`local`], [`presence`]: the target on this host, and what is told of it;
-//! * [`gate`]: what that target is given;
-//! * [`review`]: which requests are held back because targets end under them;
-//! * [`rollout`]: which release of a service gets its requests;
-//! * [`decision`]: who waits, who is turned away, where a request goes, and again.
+//! * [`host`]: the state that its duties share;
+//! * [`source`]: loads whole versions of the routes, and the members, from the store or
+//!   from peers;
+//! * [`watch`], [`spread`]: which node reads the store for its failure domain, and how the
+//!   other nodes receive what it read;
+//! * [`local`], [`presence`]: the target on this host, and what is published about it;
+//! * [`gate`]: admission to that target;
+//! * [`review`]: which requests are quarantined because targets crash under them;
+//! * [`rollout`]: which release of a service receives its requests;
+//! * [`decision`]: queueing, load shedding, target selection and retries.
 //!
-//! This layer opens no sockets. It is handed closures, so that the tests put
-//! small fakes in their place.
+//! This layer opens no sockets. Its input and output are closures that the caller passes
+//! in, so that tests can replace them with small fakes.
 
 pub mod admit;
 pub mod apply;
@@ -66,25 +67,25 @@
 /// An error of this layer.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A peer or the log can't be reached; nothing was delivered.
+    /// A peer or the log is unreachable; nothing was delivered.
     #[error("{0} can't be reached")]
     Unreachable(String),
-    /// No answer came; what was sent may have taken effect.
+    /// No answer arrived; the message may still have taken effect.
     #[error("{0} did not answer")]
     NoAnswer(String),
-    /// What was asked for is not kept any more.
-    #[error("{0} does not keep this any more")]
+    /// The requested records are no longer kept.
+    #[error("{0} no longer keeps the requested records")]
     Expired(String),
-    /// The answer was of a kind that does not fit.
+    /// The answer does not match the request.
     #[error("unexpected answer from {0}")]
     Unexpected(String),
     /// A message could not be decoded.
     #[error(transparent)]
     Protocol(#[from] protocol::Error),
-    /// The state refused something.
+    /// A record or snapshot could not be used by the state layer.
     #[error(transparent)]
     State(#[from] state::Error),
-    /// The daemon is ending.
+    /// The daemon is shutting down.
     #[error("the daemon is ending")]
     Ending,
 }
