--- a/src/coordination/host.rs
+++ b/src/coordination/host.rs
@@ -1,4 +1,4 @@
-//! What the duties of one host process share.
+//! The state that the duties of one host process share.
 
 use std::{
     collections::VecDeque,
@@ -46,76 +46,80 @@
     unit::Span,
 };
 
-/// How long after a hint another one from anywhere is passed over: about the
-/// time that asking a peer takes.
-const HINT_PAUSE: Duration = Duration::from_millis(50);
+/// The shortest time between two hints that are followed; hints in between are ignored.
+/// It is about the duration of one request to a peer.
+const MIN_HINT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Versions of the routes that are held, to tell peers what changed since. A storm
-/// brings five a second; a node that is further behind is told the whole.
-const PAST: usize = 8;
+/// Recent versions of the routes that are kept, to compute deltas for peers. A burst
+/// of changes brings five versions a second; a node that is further behind receives a
+/// whole version.
+const MAX_PAST_VERSIONS: usize = 8;
 
-/// Members that are taken in at once and have a log line each; more have one together. A
-/// starting node of a large fleet lost log lines of its first requests to hundreds of
-/// lines of members.
-const NAMED: usize = 16;
+/// Members in one batch up to which each member has its own log line; a larger batch has
+/// one line. With hundreds of lines of members, a starting node of a large fleet lost
+/// the log lines of its first requests.
+const MAX_LOGGED_MEMBERS: usize = 16;
 
-/// What the duties share.
+/// The shared state of a host process.
 pub struct Host {
     /// The settings.
     pub settings: Settings,
-    /// The outside's terms.
+    /// Decoders for the platform's encoding, and its header names.
     pub words: Words,
-    /// Log lines.
+    /// The log.
     pub journal: Journal,
     /// Counters and histograms.
     pub metrics: Metrics,
-    /// The gate before the target here.
+    /// Admission to the target on this host.
     pub gate: Gate,
-    /// The target here.
+    /// The state of the target on this host.
     pub local: Mutex<Local>,
-    /// The members known.
+    /// The known members.
     pub members: RwLock<Table>,
-    /// What was seen of other nodes.
+    /// Load, speed and failures of other nodes' targets, for target selection.
     pub balance: Mutex<Balance>,
-    /// What may be sent again.
+    /// The retry budget.
     pub allowance: Mutex<Allowance>,
-    /// How long callers have been trying.
+    /// Estimates of how long callers have been retrying.
     pub ages: Mutex<Ages>,
-    /// Which requests are held back because targets end under them.
+    /// Which requests are quarantined because targets crash under them.
     pub reviews: Reviews,
-    /// When large answers leave.
+    /// Paces large responses over the host's network link.
     pub outflow: Flow,
-    /// How split routes are dealt.
+    /// Weighted distribution of requests on split routes.
     pub split: Mutex<Split>,
-    /// Which release of a service gets its requests.
+    /// Which release of a service receives its requests.
     pub rollouts: Rollouts,
-    /// Wakes the duty that writes what this node says of itself.
+    /// Wakes the duty that writes this node's record to the store.
     pub changed: Notify,
-    /// Wakes the duty that asks nodes which can't be reached.
+    /// Wakes the duty that probes unreachable nodes.
     pub lost: Notify,
     grace: Mutex<Span>,
-    leaving: AtomicBool,
+    is_leaving: AtomicBool,
     routes: ArcSwapOption<routing::Table>,
-    past: Mutex<VecDeque<Arc<routing::Table>>>,
-    in_force_at: Mutex<Option<Instant>>,
-    at: [watch::Sender<Option<u64>>; 2],
-    settled: watch::Sender<bool>,
-    reading: watch::Sender<bool>,
-    /// Nodes in a row that can't read the store: how many this one stands in for,
-    /// and whether it can't either.
-    stands_in_for: AtomicU8,
-    blind: AtomicBool,
-    store_up: watch::Sender<bool>,
-    doubted: Notify,
-    silent: Mutex<Silent>,
+    past_versions: Mutex<VecDeque<Arc<routing::Table>>>,
+    in_force_since: Mutex<Option<Instant>>,
+    /// The offset up to which each stream is known, by [`Stream`].
+    offsets: [watch::Sender<Option<u64>>; 2],
+    is_settled: watch::Sender<bool>,
+    is_reading: watch::Sender<bool>,
+    /// Nodes directly before this one in the ranking that can't read the store, so that
+    /// this node reads it in their place.
+    failed_readers: AtomicU8,
+    /// Whether this node can't read the store either.
+    is_store_unreadable: AtomicBool,
+    is_store_up: watch::Sender<bool>,
+    read_failed: Notify,
+    unreachable: Mutex<Silent>,
     hint: Mutex<Hint>,
-    hinted: Notify,
+    hint_arrived: Notify,
 }
 
-/// A record that can't be used.
+/// A record that could not be decoded.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Unusable;
 
+/// The latest hint that a peer has something newer.
 #[derive(Default)]
 struct Hint {
     from: Option<SocketAddr>,
@@ -123,23 +127,24 @@
 }
 
 impl Host {
-    /// Takes over what can change while the process runs, and names what differs.
+    /// Applies the settings that can change while the process runs. Logs the names of the
+    /// changed settings that need a restart.
     pub fn reload(&self, new: &Settings) {
-        self.allowance.lock().set_rule(rule(new));
+        self.allowance.lock().set_rule(allowance_rule(new));
         self.local.lock().set_heartbeat(new.heartbeat);
         *self.grace.lock() = new.grace;
         let differs = |name: &'static str, is_same: bool| (!is_same).then_some(name);
-        let held = &self.settings;
-        let kept: Vec<&str> = [
-            differs("node", held.node == new.node),
-            differs("domain", held.domain == new.domain),
-            differs("service", held.service == new.service),
-            differs("labels", held.labels == new.labels),
-            differs("listen", held.listen == new.listen),
-            differs("advertise", held.advertise == new.advertise),
-            differs("store", held.store == new.store),
-            differs("descriptors", held.descriptors == new.descriptors),
-            differs("bandwidth", held.bandwidth() == new.bandwidth()),
+        let current = &self.settings;
+        let needs_restart: Vec<&str> = [
+            differs("node", current.node == new.node),
+            differs("domain", current.domain == new.domain),
+            differs("service", current.service == new.service),
+            differs("labels", current.labels == new.labels),
+            differs("listen", current.listen == new.listen),
+            differs("advertise", current.advertise == new.advertise),
+            differs("store", current.store == new.store),
+            differs("descriptors", current.descriptors == new.descriptors),
+            differs("bandwidth", current.bandwidth() == new.bandwidth()),
         ]
         .into_iter()
         .flatten()
@@ -151,16 +156,16 @@
             grace = new.grace,
             resend_ratio = new.resend.ratio,
             resend_slack = new.resend.slack,
-            needs_restart = kept.join(","),
+            needs_restart = needs_restart.join(","),
         );
     }
 
-    /// Returns how long a shutdown may take.
+    /// Returns the maximum duration of a shutdown.
     pub fn grace(&self) -> Duration {
         self.grace.lock().duration()
     }
 
-    /// Returns a process that knows nothing yet.
+    /// Returns the state of a starting process, without routes and members.
     pub fn new(settings: Settings, words: Words, journal: Journal) -> Self {
         Self {
             words,
@@ -170,7 +175,7 @@
             local: Mutex::new(Local::new(settings.heartbeat)),
             members: RwLock::default(),
             balance: Mutex::default(),
-            allowance: Mutex::new(Allowance::new(rule(&settings))),
+            allowance: Mutex::new(Allowance::new(allowance_rule(&settings))),
             grace: Mutex::new(settings.grace),
             ages: Mutex::default(),
             reviews: Reviews::default(),
@@ -179,35 +184,35 @@
             rollouts: Rollouts::new(settings.exposure.map(|exposure| exposure.share)),
             changed: Notify::new(),
             lost: Notify::new(),
-            leaving: AtomicBool::new(false),
+            is_leaving: AtomicBool::new(false),
             routes: ArcSwapOption::empty(),
-            past: Mutex::default(),
-            in_force_at: Mutex::default(),
-            at: [watch::Sender::new(None), watch::Sender::new(None)],
-            settled: watch::Sender::new(false),
-            reading: watch::Sender::new(false),
-            stands_in_for: AtomicU8::new(0),
-            blind: AtomicBool::new(false),
-            store_up: watch::Sender::new(true),
-            doubted: Notify::new(),
-            silent: Mutex::default(),
+            past_versions: Mutex::default(),
+            in_force_since: Mutex::default(),
+            offsets: [watch::Sender::new(None), watch::Sender::new(None)],
+            is_settled: watch::Sender::new(false),
+            is_reading: watch::Sender::new(false),
+            failed_readers: AtomicU8::new(0),
+            is_store_unreadable: AtomicBool::new(false),
+            is_store_up: watch::Sender::new(true),
+            read_failed: Notify::new(),
+            unreachable: Mutex::default(),
             hint: Mutex::default(),
-            hinted: Notify::new(),
+            hint_arrived: Notify::new(),
             settings,
         }
     }
 
-    /// Returns the version in force, if there is one.
+    /// Returns the version of the routes in force, if there is one.
     pub fn routes(&self) -> Option<Arc<routing::Table>> {
         self.routes.load_full()
     }
 
-    /// Returns the number of the version in force; 0 if there is none.
+    /// Returns the number of the version in force, or 0 if there is none.
     pub fn version(&self) -> u64 {
         self.routes.load().as_ref().map_or(0, |table| table.version)
     }
 
-    /// Returns the limits on callers.
+    /// Returns the limits on requests of callers, from the version in force.
     pub fn limits(&self) -> routing::Limits {
         let routes = self.routes.load();
         routes
@@ -215,67 +220,68 @@
             .map_or_else(Default::default, |table| table.limits)
     }
 
-    /// Returns what the version in force changes about version `base`, or the
-    /// whole if that is not held any more.
+    /// Returns the delta from version `base` to the version in force, or the whole version
+    /// if `base` is no longer kept. Returns nothing if no version is in force.
     pub fn routes_since(&self, base: u64) -> Option<Delta> {
         let table = self.routes()?;
-        let past = self.past.lock();
-        let base = past.iter().find(|past| past.version == base);
+        let past_versions = self.past_versions.lock();
+        let base = past_versions.iter().find(|past| past.version == base);
         Some(table.since(base.map(AsRef::as_ref)))
     }
 
-    /// Puts the version in `record` in force, if it is newer than the one held.
-    /// One that can't be used is refused whole.
+    /// Puts the version in `record` in force if it is newer than the current one.
     ///
-    /// Returns what it changes, or nothing where the version held is as new.
+    /// Returns the delta from the current version, or nothing if the current version is
+    /// the same or newer.
     ///
     /// # Errors
     ///
-    /// If it can't be used; the log has the reason.
-    pub fn take_record(&self, record: &[u8], from: &str) -> Result<Option<Delta>, Unusable> {
+    /// If the record can't be decoded. It is then rejected as a whole, and the log has the
+    /// reason.
+    pub fn apply_record(&self, record: &[u8], from: &str) -> Result<Option<Delta>, Unusable> {
         let table = (self.words.routes)(record).map_err(|error| {
-            self.refuse_routes(&error, from);
+            self.reject_routes(&error, from);
             Unusable
         })?;
-        let held = self.routes();
-        if held
+        let current = self.routes();
+        if current
             .as_ref()
-            .is_some_and(|held| table.version <= held.version)
+            .is_some_and(|current| table.version <= current.version)
         {
             return Ok(None);
         }
-        let delta = table.since(held.as_deref());
-        self.take_routes(delta.clone(), from);
+        let delta = table.since(current.as_deref());
+        self.apply_routes(delta.clone(), from);
         Ok(Some(delta))
     }
 
-    /// Puts the version that comes of a change in force, if it is newer than the
-    /// one held; returns whether nothing is missing.
-    pub fn take_routes(&self, delta: Delta, from: &str) -> bool {
-        let held = self.routes();
-        let before = held.as_ref().map_or(0, |held| held.version);
+    /// Applies a delta, and puts the resulting version in force if it is newer than the
+    /// current one. Returns false if the delta's base version is missing here.
+    pub fn apply_routes(&self, delta: Delta, from: &str) -> bool {
+        let current = self.routes();
+        let before = current.as_ref().map_or(0, |current| current.version);
         if delta.version <= before {
             return true;
         }
         let changed = delta.put.len() + delta.gone.len();
-        // Routes that did not change are shared between versions.
-        let table = match routing::Table::after(held.as_deref(), delta) {
+        // Versions share the routes that did not change.
+        let table = match routing::Table::after(current.as_deref(), delta) {
             Ok(table) => table,
             Err(routing::Error::Base { .. }) => return false,
             Err(error) => {
-                self.refuse_routes(&error, from);
+                self.reject_routes(&error, from);
                 return true;
             }
         };
         let (version, routes) = (table.version, table.len());
-        // Only the duty that follows the store and peers writes here, so
-        // nothing newer can have come between.
+        // Only the duty that follows the store and peers stores versions, so no newer
+        // version can have been stored since the check above.
         self.routes.store(Some(Arc::new(table)));
-        *self.in_force_at.lock() = Some(Instant::now());
-        let mut past = self.past.lock();
-        past.extend(self.routes());
-        if past.len() > PAST {
-            past.pop_front();
+        *self.in_force_since.lock() = Some(Instant::now());
+        let mut past_versions = self.past_versions.lock();
+        past_versions.extend(self.routes());
+        if past_versions.len() > MAX_PAST_VERSIONS {
+            past_versions.pop_front();
         }
         note!(
             self.journal,
@@ -289,61 +295,61 @@
         true
     }
 
-    /// Counts what came from outside and can't be used.
+    /// Counts input from outside that can't be used; `what` is its kind.
     pub fn count_unusable(&self, what: &'static str) {
         let unusable = metrics::Unusable { what };
         self.metrics.unusable.get_or_create(&unusable).inc();
     }
 
-    fn refuse_routes(&self, error: &dyn std::error::Error, from: &str) {
+    fn reject_routes(&self, error: &dyn std::error::Error, from: &str) {
         self.count_unusable("version");
         let why = crate::logging::chain(error);
-        let held = self.version();
+        let current = self.version();
         note!(
             self.journal,
             Event::ChangeRejected,
             from = from,
-            held = held,
+            held = current,
             why = why
         );
     }
 
-    /// Takes in what is known of members.
+    /// Merges records of members into the table.
     pub fn take_members(&self, members: Vec<Member>, from: &str) {
-        if members.len() <= NAMED {
+        if members.len() <= MAX_LOGGED_MEMBERS {
             for member in members {
                 self.take_member(member, from);
             }
             return;
         }
         let count = members.len();
-        let tells = members.iter().any(|member| !member.evidence.is_empty());
+        let has_evidence = members.iter().any(|member| !member.evidence.is_empty());
         let mut table = self.members.write();
-        let news = members
+        let updated = members
             .into_iter()
             .map(|member| usize::from(table.merge(member)))
             .sum::<usize>();
         let known = table.len();
         drop(table);
-        self.reviews.hear(tells);
+        self.reviews.hear(has_evidence);
         note!(
             self.journal,
             Event::MembersTaken,
             count = count,
-            news = news,
+            news = updated,
             known = known,
             from = from
         );
     }
 
-    /// Takes in what is known of a member; returns whether that is news.
+    /// Merges the record of a member into the table. Returns whether it changed the table.
     pub fn take_member(&self, member: Member, from: &str) -> bool {
         let (node, domain) = (member.node.clone(), member.domain.clone());
-        let (status, targets) = (member.status, told(&member));
-        let tells = !member.evidence.is_empty();
-        let is_news = self.members.write().merge(member);
-        if is_news {
-            self.reviews.hear(tells);
+        let (status, targets) = (member.status, targets_text(&member));
+        let has_evidence = !member.evidence.is_empty();
+        let has_changed = self.members.write().merge(member);
+        if has_changed {
+            self.reviews.hear(has_evidence);
             note!(
                 self.journal,
                 Event::MemberChanged,
@@ -354,15 +360,15 @@
                 from = from
             );
         }
-        is_news
+        has_changed
     }
 
-    /// Notes that a stream is known up to an offset.
+    /// Records that a stream is known up to an offset.
     pub fn known_to(&self, stream: Stream, offset: u64) {
-        self.at[stream as usize].send_if_modified(|at| {
-            let is_later = at.is_none_or(|at| at < offset);
+        self.offsets[stream as usize].send_if_modified(|known| {
+            let is_later = known.is_none_or(|known| known < offset);
             if is_later {
-                *at = Some(offset);
+                *known = Some(offset);
             }
             is_later
         });
@@ -370,109 +376,118 @@
 
     /// Returns the offset up to which a stream is known, if it was ever read.
     pub fn at(&self, stream: Stream) -> Option<u64> {
-        *self.at[stream as usize].borrow()
+        *self.offsets[stream as usize].borrow()
     }
 
-    /// Waits until the members are known.
+    /// Waits until the stream of the members has been read once.
     pub async fn until_members_known(&self) {
-        let mut at = self.at[Stream::Members as usize].subscribe();
-        // The sender lives as long as `self`.
-        let _ = at.wait_for(Option::is_some).await;
+        let mut offset = self.offsets[Stream::Members as usize].subscribe();
+        // Can't fail: the sender lives as long as `self`.
+        let _ = offset.wait_for(Option::is_some).await;
     }
 
-    /// Notes that the fleet has had time to write down who is there.
+    /// Marks the membership as settled: the nodes of a fleet that starts as a whole have
+    /// had the time to write their records to the store.
     pub fn settle(&self) {
-        self.settled.send_replace(true);
+        self.is_settled.send_replace(true);
     }
 
-    /// Returns whether it had.
+    /// Returns whether the membership is settled.
     pub fn is_settled(&self) -> bool {
-        *self.settled.borrow()
+        *self.is_settled.borrow()
     }
 
-    /// Waits until then.
+    /// Waits until the membership is settled.
     pub async fn until_settled(&self) {
-        // As above.
-        let _ = self.settled.subscribe().wait_for(|settled| *settled).await;
-    }
-
-    /// Notes whether this node reads the store for its failure domain, and how many
-    /// in a row before it can't.
-    pub fn set_reading(&self, reads: bool, stands_in_for: u8) {
-        self.stands_in_for.store(stands_in_for, Ordering::Relaxed);
-        let changed = self
-            .reading
-            .send_if_modified(|held| std::mem::replace(held, reads) != reads);
-        if changed {
-            self.set_blind(false);
+        // Can't fail: the sender lives as long as `self`.
+        let _ = self
+            .is_settled
+            .subscribe()
+            .wait_for(|settled| *settled)
+            .await;
+    }
+
+    /// Sets whether this node reads the store for its failure domain. `failed_readers` is
+    /// the number of nodes directly before it in the ranking that can't read the store.
+    pub fn set_reading(&self, reads: bool, failed_readers: u8) {
+        self.failed_readers.store(failed_readers, Ordering::Relaxed);
+        let has_changed = self
+            .is_reading
+            .send_if_modified(|current| std::mem::replace(current, reads) != reads);
+        if has_changed {
+            self.set_store_unreadable(false);
             note!(self.journal, Event::ReaderChanged, reads = reads);
         }
     }
 
-    /// Returns whether this node reads the store for its failure domain, to be
-    /// watched.
+    /// Returns a watch on whether this node reads the store for its failure domain.
     pub fn reading(&self) -> watch::Receiver<bool> {
-        self.reading.subscribe()
+        self.is_reading.subscribe()
     }
 
-    /// Notes whether the store can't be read.
-    pub fn set_blind(&self, is_blind: bool) {
-        self.blind.store(is_blind, Ordering::Relaxed);
+    /// Sets whether this node's reads of the store fail.
+    pub fn set_store_unreadable(&self, is_unreadable: bool) {
+        self.is_store_unreadable
+            .store(is_unreadable, Ordering::Relaxed);
     }
 
-    /// Notes that a read of the store failed: others that wait there may wait for
-    /// nothing.
-    pub fn doubt(&self) {
-        self.doubted.notify_waiters();
+    /// Signals that a read of the store failed. Other reads that wait at the store may
+    /// never be answered.
+    pub fn signal_read_failure(&self) {
+        self.read_failed.notify_waiters();
     }
 
     /// Waits until a read of the store fails.
-    pub async fn until_doubted(&self) {
-        self.doubted.notified().await;
+    pub async fn until_read_fails(&self) {
+        self.read_failed.notified().await;
     }
 
-    /// Returns how far this node is.
+    /// Returns the version and the offsets that this node has reached.
     pub fn seen(&self) -> Seen {
         Seen {
             version: self.version(),
             members: self.at(Stream::Members).unwrap_or(0),
             routes: self.at(Stream::Routes).unwrap_or(0),
-            blind: self.blind_in_a_row(),
+            blind: self.consecutive_failed_readers(),
         }
     }
 
-    fn blind_in_a_row(&self) -> u8 {
-        let is_blind = *self.reading.borrow() && self.blind.load(Ordering::Relaxed);
-        let before = self.stands_in_for.load(Ordering::Relaxed);
-        if is_blind {
-            before.saturating_add(1)
+    /// Returns how many consecutive nodes of the ranking, up to and including this one,
+    /// can't read the store; 0 if this node can, or is not a reader.
+    fn consecutive_failed_readers(&self) -> u8 {
+        let has_failed =
+            *self.is_reading.borrow() && self.is_store_unreadable.load(Ordering::Relaxed);
+        let failed_before = self.failed_readers.load(Ordering::Relaxed);
+        if has_failed {
+            failed_before.saturating_add(1)
         } else {
             0
         }
     }
 
-    /// Notes that a node did not answer; until then it is left out.
+    /// Records that a node did not answer. It counts as unreachable until the given time.
     pub fn note_silent(&self, node: &Node, until: Instant) {
-        self.silent.lock().insert(node.clone(), until);
+        self.unreachable.lock().insert(node.clone(), until);
     }
 
-    /// Returns whether a node is left out.
+    /// Returns whether a node counts as unreachable.
     pub fn is_silent(&self, node: &Node, now: Instant) -> bool {
-        self.silent
+        self.unreachable
             .lock()
             .get(node)
             .is_some_and(|until| now < *until)
     }
 
-    /// Returns whether the process can serve callers.
+    /// Returns whether the process can serve requests: routes and members are loaded, and
+    /// the evidence about quarantined requests was reviewed once.
     pub fn is_ready(&self) -> bool {
         self.routes.load().is_some()
             && self.at(Stream::Members).is_some()
             && self.reviews.are_done()
     }
 
-    /// Notes that another node names a newer version or later members than are
-    /// held here.
+    /// Records a hint if a peer's version or its offset of the members is newer than this
+    /// node's.
     pub fn hear_of(&self, version: u64, members: u64, peer: SocketAddr) {
         let is_behind = version > self.version() || Some(members) > self.at(Stream::Members);
         if !is_behind {
@@ -480,24 +495,24 @@
         }
         let now = Instant::now();
         let mut hint = self.hint.lock();
-        if hint.at.is_none_or(|at| now - at > HINT_PAUSE) {
+        if hint.at.is_none_or(|at| now - at > MIN_HINT_INTERVAL) {
             hint.from = Some(peer);
             hint.at = Some(now);
-            self.hinted.notify_one();
+            self.hint_arrived.notify_one();
         }
     }
 
-    /// Waits for a peer that knows more.
+    /// Waits for a hint, and returns the address of the peer that has something newer.
     pub async fn next_hint(&self) -> SocketAddr {
         loop {
-            self.hinted.notified().await;
+            self.hint_arrived.notified().await;
             if let Some(peer) = self.hint.lock().from.take() {
                 return peer;
             }
         }
     }
 
-    /// Opens or closes the gate by what is known of the target here.
+    /// Opens or closes the gate, according to the state of the target on this host.
     pub fn set_gate(&self) {
         let local = self.local.lock();
         match local.open() {
@@ -507,7 +522,8 @@
         }
     }
 
-    /// Notes how a call to the store ended, and its time where it did not wait there.
+    /// Records the result of a call to the store, and its duration. `took` is None if the
+    /// call may have waited at the store for new records.
     pub fn note_store<T>(
         &self,
         call: &'static str,
@@ -515,8 +531,8 @@
         took: Option<Duration>,
     ) {
         let is_up = matches!(result, Ok(_) | Err(Error::Expired(_)));
-        self.store_up
-            .send_if_modified(|held| std::mem::replace(held, is_up) != is_up);
+        self.is_store_up
+            .send_if_modified(|current| std::mem::replace(current, is_up) != is_up);
         let result = if result.is_ok() { "ok" } else { "failed" };
         let call = metrics::Call { call, result };
         self.metrics.store.get_or_create(&call).inc();
@@ -525,62 +541,63 @@
         }
     }
 
-    /// Waits until a call to the store succeeds, or for `most`.
-    pub async fn until_store_answers(&self, most: Duration) {
-        let mut up = self.store_up.subscribe();
-        // Either way the caller tries again.
-        let _ = tokio::time::timeout(most, up.wait_for(|up| *up)).await;
+    /// Waits until a call to the store succeeds, at most for `max_wait`.
+    pub async fn until_store_answers(&self, max_wait: Duration) {
+        let mut is_up = self.is_store_up.subscribe();
+        // On a timeout, too, the caller retries.
+        let _ = tokio::time::timeout(max_wait, is_up.wait_for(|is_up| *is_up)).await;
     }
 
-    /// Returns whether another duty asks the store again and again while it fails.
-    pub fn is_watching_store(&self) -> bool {
-        *self.reading.borrow() || self.at(Stream::Members).is_none()
+    /// Returns whether a duty that follows the store retries its reads while they fail.
+    pub fn is_polling_store(&self) -> bool {
+        *self.is_reading.borrow() || self.at(Stream::Members).is_none()
     }
 
     /// Returns the metrics as text.
     pub fn metrics(&self) -> String {
         let now = Instant::now();
         let members = self.members.read();
-        let silent = members
+        let unreachable = members
             .iter()
             .filter(|m| self.is_silent(&m.node, now))
             .count();
         self.metrics.text(&metrics::Now {
             version: self.version(),
             version_age: self
-                .routes_since_when()
-                .map_or(Duration::ZERO, |at| now - at),
+                .in_force_since()
+                .map_or(Duration::ZERO, |since| now - since),
             load: self.gate.load(),
-            reading: *self.reading.borrow(),
+            reading: *self.is_reading.borrow(),
             lines_lost: self.journal.lost(),
-            members: (members.len() - silent, silent),
+            members: (members.len() - unreachable, unreachable),
             held: self.reviews.held(now).len(),
         })
     }
 
-    /// Returns when the version in force was put there.
-    fn routes_since_when(&self) -> Option<Instant> {
-        *self.in_force_at.lock()
+    /// Returns when the current version came into force.
+    fn in_force_since(&self) -> Option<Instant> {
+        *self.in_force_since.lock()
     }
 
-    /// Waits until the link has room for an answer of `bytes`, if it is a large one.
+    /// Waits until the network link has capacity for a response of `bytes`. Small responses
+    /// and those of unknown size don't wait.
     pub async fn until_room(&self, bytes: Option<usize>) {
         if let Some(bytes) = bytes.filter(|bytes| balance::is_large(*bytes)) {
             self.outflow.enter(bytes).await;
         }
     }
 
-    /// Notes that the process leaves: other nodes are refused from now on.
+    /// Marks this process as leaving: requests of other nodes are refused from now on.
     pub fn leave(&self) {
-        self.leaving.store(true, Ordering::Relaxed);
+        self.is_leaving.store(true, Ordering::Relaxed);
     }
 
-    /// Returns whether the process leaves.
+    /// Returns whether this process is leaving.
     pub fn is_leaving(&self) -> bool {
-        self.leaving.load(Ordering::Relaxed)
+        self.is_leaving.load(Ordering::Relaxed)
     }
 
-    /// Returns the nodes that share what may be sent again.
+    /// Returns the number of nodes that share the retry budget.
     pub fn nodes(&self) -> usize {
         self.members.read().len().max(1)
     }
@@ -591,7 +608,7 @@
     }
 }
 
-fn rule(settings: &Settings) -> Rule {
+fn allowance_rule(settings: &Settings) -> Rule {
     Rule {
         ratio: settings.resend.ratio,
         slack: f64::from(settings.resend.slack),
@@ -599,8 +616,8 @@
     }
 }
 
-/// Returns a member's targets for a log line.
-fn told(member: &Member) -> String {
+/// Returns a member's targets as text for a log line.
+fn targets_text(member: &Member) -> String {
     let targets = member.targets.iter().map(|target| {
         let state = if target.draining { "draining" } else { "ready" };
         format!("{}/{}/{state}", target.service, target.instance)
--- a/src/coordination/source.rs
+++ b/src/coordination/source.rs
@@ -191,7 +191,7 @@
         };
         let read = tokio::select! {
             read = read => read,
-            () = host.until_doubted(), if stream == Stream::Members => {
+            () = host.until_read_fails(), if stream == Stream::Members => {
                 host.until_store_answers(RELY).await;
                 continue;
             }
@@ -203,15 +203,15 @@
                 note_up(host, stream, failures);
                 failures = 0;
                 is_behind = false;
-                host.set_blind(false);
+                host.set_store_unreadable(false);
                 take_on(host, ask, stream, from.unwrap_or(0), records);
                 tokio::time::sleep(gather(stream)).await;
             }
             Err(Error::Expired(_)) => is_behind = true,
             Err(error) => {
                 note_down(host, stream, failures, &error);
-                host.set_blind(true);
-                host.doubt();
+                host.set_store_unreadable(true);
+                host.signal_read_failure();
                 // Versions that came meanwhile are long: a thin link takes seconds
                 // for all of them, and only the newest counts.
                 is_behind = stream == Stream::Routes;
@@ -274,7 +274,7 @@
     here::take(host, news.rollouts, "reader");
     let stream = news.load.stream();
     let is_whole = match news.load {
-        Load::Routes(delta) => host.take_routes(delta, "reader"),
+        Load::Routes(delta) => host.apply_routes(delta, "reader"),
         Load::Members(records) => {
             take_members(host, &records, "reader");
             // Every record counts: those before must be known.
@@ -306,7 +306,7 @@
 /// Returns the pause of a duty that has not to find out by itself when the store is
 /// back, where another one of this process does.
 pub fn pause_beside(host: &Host, failures: u32) -> Duration {
-    if host.is_watching_store() {
+    if host.is_polling_store() {
         RELY
     } else {
         pause(failures)
@@ -406,7 +406,7 @@
 
 fn take_routes(host: &Host, answer: &[u8]) {
     if let Some(delta) = decode::<Delta>(host, answer, "news", "peer") {
-        host.take_routes(delta, "peer");
+        host.apply_routes(delta, "peer");
     }
 }
 
@@ -448,7 +448,7 @@
         // can't be used hides no other.
         Stream::Routes => {
             let mut newest = records.iter().rev();
-            let usable = newest.find_map(|record| host.take_record(record, "store").ok());
+            let usable = newest.find_map(|record| host.apply_record(record, "store").ok());
             usable.flatten().map(Load::Routes)
         }
         Stream::Members => {
