--- a/src/coordination/source.rs
+++ b/src/coordination/source.rs
@@ -1,10 +1,11 @@
-//! Takes in the store's streams: whole versions of the routes, and the members.
+//! Loads the store's streams: whole versions of the routes, and the members.
 //!
-//! A starting node reads the members, and takes a first version of the routes from a peer;
-//! the heads of each failure domain's row read it themselves where no peer has one. After
-//! that the first node of each domain reads on, by long waits, and tells the others
-//! ([`watch`], [`spread`]). While the store can't be reached, and whenever another node
-//! names something newer, peers are asked instead.
+//! A starting node reads the members from the store, and loads a first version of the
+//! routes from a peer. Where no peer has one, the first-ranked nodes of each failure domain
+//! read it from the store. After that, the first node in the ranking of each domain keeps
+//! reading by long polling and sends what it read to the others ([`watch`], [`spread`]).
+//! While the store is unreachable, and whenever another node reports something newer,
+//! nodes ask peers instead.
 
 use std::{
     net::SocketAddr,
@@ -35,121 +36,128 @@
     unit::Span,
 };
 
-/// How long a read of the routes waits at the store for something new. A store
-/// that falls silent leaves waiting reads without an answer, also after its
-/// return, and nothing but time tells that from a quiet one. With the time for an
-/// answer this must end before the 3 s after which changes are to be in time
-/// again.
-const WAIT_ROUTES: Span = Span::from_millis(1500);
+/// How long a read of the routes waits at the store for a new version. A store that stops
+/// responding never answers the reads that wait there, not even after its return, and only
+/// a timeout distinguishes it from a store without changes. Together with the timeout of an
+/// answer the wait must end within 3 s: that soon after an outage, changes must be in force
+/// in time again.
+const ROUTES_MAX_WAIT: Span = Span::from_millis(1500);
 
-/// The same for the members. The platform allows 30 s; a little less, so that its
-/// answer and not our timeout ends the wait. When a read of the routes fails this
-/// one is begun anew.
-const WAIT_MEMBERS: Span = Span::from_secs(25);
+/// How long a read of the members waits at the store for a new record. The platform allows
+/// 30 s; this is a little less, so that its answer ends the wait and not this node's timeout.
+/// When a read of the routes fails, the read of the members is restarted.
+const MEMBERS_MAX_WAIT: Span = Span::from_secs(25);
 
-/// The pause after a first failed call; doubles up to [`MAX_PAUSE`].
-const PAUSE: Duration = Duration::from_millis(100);
+/// The pause after the first failed call; it doubles up to [`MAX_PAUSE`].
+const FIRST_PAUSE: Duration = Duration::from_millis(100);
 
-/// The longest pause between calls to a store that fails. Its return must be
-/// noticed well within the 2 s in which changes are to be in force.
+/// The longest pause between calls to a failing store. Its return must be noticed well
+/// within the 2 s in which changes must be in force.
 const MAX_PAUSE: Duration = Duration::from_millis(800);
 
-/// How long peers are waited for at a start. One that is there answers within a few
-/// milliseconds; after a loss of power none is, and the store tells as well.
-const FIRST: Duration = Duration::from_millis(150);
+/// How long a starting first-ranked node waits for peers before it reads the store. A
+/// running peer answers within a few milliseconds; after a loss of power none is running,
+/// and the store has the version as well.
+const FIRST_RANKED_PEER_WAIT: Duration = Duration::from_millis(150);
 
-/// Nodes of each failure domain, the first of its row, that read a first version from the
-/// store when no peer has one. The others wait for them: a store has a rate of bytes, and
-/// after a loss of power 295 nodes that all read 450 KB had their version 1.2 s after
-/// their start at the median, where 15 take 0.1 s of 80 MB/s for it.
-const HEADS: usize = 3;
+/// Nodes of each failure domain, the first in its ranking, that read a first version from
+/// the store when no peer has one; the others wait for them. The store's bandwidth is
+/// limited: after a loss of power, with 295 nodes that all read 450 KB, the median node had
+/// its version 1.2 s after its start. For 15 nodes the store needs 0.1 s at 80 MB/s.
+const FIRST_RANKED: usize = 3;
 
-/// How long the others wait for a version of a peer before they read the store: as long
-/// as a fleet of hundreds takes to hand one on over links of 10 Mbit/s.
-const FIRST_BEHIND: Duration = Duration::from_millis(1200);
+/// How long the other starting nodes wait for a peer's version before they read the store:
+/// as long as a fleet of hundreds needs to pass one on over links of 10 Mbit/s.
+const PEER_WAIT: Duration = Duration::from_millis(1200);
 
-/// The pause between two rounds of asking for a first version: about the time in which a
-/// head reads one of 450 KB over a link of 100 Mbit/s, with its decoding.
-const ASK_AGAIN: Duration = Duration::from_millis(100);
+/// The pause between two rounds of asking peers for a first version. It is about the time
+/// in which a first-ranked node reads and decodes one of 450 KB over a link of 100 Mbit/s.
+const PEER_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// How long a duty relies on another one of this process that asks a store which
-/// fails: one call in a round is enough to find out that it is back. Longer than
-/// [`MAX_PAUSE`] and a call's time.
-const RELY: Duration = Duration::from_secs(2);
+/// How long a duty waits for another duty of this process that retries its calls to a
+/// failing store; one call per round is enough to notice the store's return. Longer than
+/// [`MAX_PAUSE`] plus the duration of a call.
+const STORE_RETURN_WAIT: Duration = Duration::from_secs(2);
 
-/// Peers that are asked at a time while the store fails.
-const PEERS: usize = 2;
+/// Peers of the own failure domain, and as many of the others, that are asked in one round
+/// while the store fails.
+const PEERS_PER_GROUP: usize = 2;
 
-/// How long a node that the store does not know yet waits before it reads the
-/// members again and takes up a role: a fleet that starts as one has written
-/// itself down by then, each node with its target's first heartbeat (1.5 s).
-const SETTLE: Duration = Duration::from_millis(2800);
+/// How long a node that is not in the store yet waits before it reads the members again and
+/// takes up a role. By then the nodes of a fleet that starts as a whole have written their
+/// records, each with its target's first heartbeat (1.5 s).
+const SETTLE_TIME: Duration = Duration::from_millis(2800);
 
-/// The pause after records of members, so that changes which come together cost
-/// one call. Nothing waits for it: the gate beside a target acts at once.
-const GATHER: Duration = Duration::from_millis(200);
+/// The pause after a read of members, so that changes in quick succession cost one call.
+/// Nothing waits for these changes: the gate beside a target acts at once.
+const MEMBERS_BATCH_PAUSE: Duration = Duration::from_millis(200);
 
-/// The same after a version. Versions come 0.2 s apart at the most.
-const GATHER_ROUTES: Duration = Duration::from_millis(30);
+/// The pause after a read of the routes, so that versions in quick succession cost one
+/// call. At the highest rate, versions are 0.2 s apart.
+const ROUTES_BATCH_PAUSE: Duration = Duration::from_millis(30);
 
 /// Follows one stream of the store; never returns.
 pub async fn follow(host: Arc<Host>, store: Store, ask: Ask, stream: Stream) {
     match stream {
-        Stream::Routes => first_routes(&host, &store, &ask).await,
+        Stream::Routes => load_first_routes(&host, &store, &ask).await,
         Stream::Members => {
             read_newest(&host, &store, &ask, stream).await;
-            settle(&host, &store, &ask).await;
+            settle_membership(&host, &store, &ask).await;
         }
     }
     host.until_settled().await;
     let mut reading = host.reading();
     loop {
-        // The host outlives its duties.
+        // Can't fail: `host` owns the sender.
         let _ = reading.wait_for(|reads| *reads).await;
         tokio::select! {
-            () = read_on(&host, &store, &ask, stream) => {}
+            () = read_tail(&host, &store, &ask, stream) => {}
             _ = reading.wait_for(|reads| !*reads) => {}
         }
     }
 }
 
-/// Takes a first version from peers, or from the store if they have none.
+/// Loads a first version from a peer, or from the store if no peer has one.
 ///
-/// A peer tells it in half the bytes and without a call to the store; a fleet that
-/// starts as one finds nobody who has it.
-async fn first_routes(host: &Arc<Host>, store: &Store, ask: &Ask) {
+/// A peer sends it in half the bytes and without a call to the store. In a fleet that
+/// starts as a whole no peer has one.
+async fn load_first_routes(host: &Arc<Host>, store: &Store, ask: &Ask) {
     host.until_members_known().await;
-    let is_head = watch::before(host).len() < HEADS;
-    let wait = if is_head { FIRST } else { FIRST_BEHIND };
-    // None of them having answered in time is what the store is there for.
-    let _ = tokio::time::timeout(wait, until_told(host, ask, is_head)).await;
+    let is_first_ranked = watch::before(host).len() < FIRST_RANKED;
+    let wait = if is_first_ranked {
+        FIRST_RANKED_PEER_WAIT
+    } else {
+        PEER_WAIT
+    };
+    // If no peer has sent a version in time, the store is read below.
+    let _ = tokio::time::timeout(wait, request_routes(host, ask, is_first_ranked)).await;
     if host.version() == 0 {
         read_newest(host, store, ask, Stream::Routes).await;
     }
 }
 
-/// Asks peers until one has told a version; a head asks once.
-async fn until_told(host: &Arc<Host>, ask: &Ask, is_head: bool) {
+/// Asks peers until one has sent a version. A first-ranked node asks one round only.
+async fn request_routes(host: &Arc<Host>, ask: &Ask, is_first_ranked: bool) {
     loop {
-        ask_around(host, ask).await;
-        if is_head || host.version() > 0 {
+        sync_with_peers(host, ask).await;
+        if is_first_ranked || host.version() > 0 {
             return;
         }
-        tokio::time::sleep(ASK_AGAIN.mul_f64(0.8 + 0.4 * fastrand::f64())).await;
+        tokio::time::sleep(PEER_RETRY_PAUSE.mul_f64(0.8 + 0.4 * fastrand::f64())).await;
     }
 }
 
-/// Gives a fleet that starts as one the time to write itself down.
-async fn settle(host: &Arc<Host>, store: &Store, ask: &Ask) {
+/// Waits until the nodes of a fleet that starts as a whole had time to write their records.
+async fn settle_membership(host: &Arc<Host>, store: &Store, ask: &Ask) {
     let is_known = host.members.read().get(&host.settings.node).is_some();
     if !is_known {
-        tokio::time::sleep(SETTLE).await;
+        tokio::time::sleep(SETTLE_TIME).await;
         read_newest(host, store, ask, Stream::Members).await;
     }
     host.settle();
 }
 
-/// Reads a stream as a whole, or what peers know of it.
+/// Loads a stream as a whole from the store, or from peers while the store fails.
 async fn read_newest(host: &Arc<Host>, store: &Store, ask: &Ask, stream: Stream) {
     let mut failures = 0;
     loop {
@@ -158,16 +166,16 @@
         host.note_store("newest", &read, Some(since.elapsed()));
         match read {
             Ok(records) => {
-                note_up(host, stream, failures);
-                take_orders(host, &records.orders);
-                take(host, stream, records.records);
+                note_store_up(host, stream, failures);
+                apply_orders(host, &records.orders);
+                apply_records(host, stream, records.records);
                 host.known_to(stream, records.next);
                 return;
             }
             Err(error) => {
-                note_down(host, stream, failures, &error);
+                note_store_down(host, stream, failures, &error);
                 let before = host.at(stream);
-                ask_around(host, ask).await;
+                sync_with_peers(host, ask).await;
                 if host.at(stream) > before {
                     return;
                 }
@@ -178,21 +186,22 @@
     }
 }
 
-/// Reads a stream on and tells the failure domain; never returns.
-async fn read_on(host: &Arc<Host>, store: &Store, ask: &Ask, stream: Stream) {
+/// Keeps reading a stream and sends the records to the failure domain; never returns.
+async fn read_tail(host: &Arc<Host>, store: &Store, ask: &Ask, stream: Stream) {
     let mut failures = 0;
     let mut is_behind = false;
     loop {
-        // What is read as a whole leaves nothing out that came before it.
+        // Without an offset, or when this node is behind, the stream is read as a whole, which
+        // includes all that the earlier records say.
         let from = host.at(stream).filter(|_| !is_behind);
         let read = match from {
-            Some(from) => (store.tail)(stream, from, wait(stream)),
+            Some(from) => (store.tail)(stream, from, max_wait(stream)),
             None => (store.newest)(stream),
         };
         let read = tokio::select! {
             read = read => read,
             () = host.until_read_fails(), if stream == Stream::Members => {
-                host.until_store_answers(RELY).await;
+                host.until_store_answers(STORE_RETURN_WAIT).await;
                 continue;
             }
         };
@@ -200,54 +209,54 @@
         host.note_store(call, &read, None);
         match read {
             Ok(records) => {
-                note_up(host, stream, failures);
+                note_store_up(host, stream, failures);
                 failures = 0;
                 is_behind = false;
                 host.set_store_unreadable(false);
-                take_on(host, ask, stream, from.unwrap_or(0), records);
-                tokio::time::sleep(gather(stream)).await;
+                apply_and_spread(host, ask, stream, from.unwrap_or(0), records);
+                tokio::time::sleep(batch_pause(stream)).await;
             }
             Err(Error::Expired(_)) => is_behind = true,
             Err(error) => {
-                note_down(host, stream, failures, &error);
+                note_store_down(host, stream, failures, &error);
                 host.set_store_unreadable(true);
                 host.signal_read_failure();
-                // Versions that came meanwhile are long: a thin link takes seconds
-                // for all of them, and only the newest counts.
+                // The versions published during the outage are large: a slow link takes
+                // seconds for all of them, and only the newest one counts.
                 is_behind = stream == Stream::Routes;
-                let rest = async {
+                let delay = async {
                     match stream {
                         Stream::Routes => tokio::time::sleep(pause(failures)).await,
-                        Stream::Members => host.until_store_answers(RELY).await,
+                        Stream::Members => host.until_store_answers(STORE_RETURN_WAIT).await,
                     }
                 };
-                tokio::join!(ask_around(host, ask), rest);
+                tokio::join!(sync_with_peers(host, ask), delay);
                 failures += 1;
             }
         }
     }
 }
 
-const fn wait(stream: Stream) -> Span {
+const fn max_wait(stream: Stream) -> Span {
     match stream {
-        Stream::Routes => WAIT_ROUTES,
-        Stream::Members => WAIT_MEMBERS,
+        Stream::Routes => ROUTES_MAX_WAIT,
+        Stream::Members => MEMBERS_MAX_WAIT,
     }
 }
 
-const fn gather(stream: Stream) -> Duration {
+const fn batch_pause(stream: Stream) -> Duration {
     match stream {
-        Stream::Routes => GATHER_ROUTES,
-        Stream::Members => GATHER,
+        Stream::Routes => ROUTES_BATCH_PAUSE,
+        Stream::Members => MEMBERS_BATCH_PAUSE,
     }
 }
 
-/// Takes what was read and tells the failure domain.
-fn take_on(host: &Arc<Host>, ask: &Ask, stream: Stream, from: u64, records: Records) {
-    let rollouts = take_orders(host, &records.orders);
-    let load = take(host, stream, records.records);
+/// Applies records from the store and sends them to the failure domain.
+fn apply_and_spread(host: &Arc<Host>, ask: &Ask, stream: Stream, from: u64, records: Records) {
+    let rollouts = apply_orders(host, &records.orders);
+    let load = apply_records(host, stream, records.records);
     host.known_to(stream, records.next);
-    // Where there is an order alone, it goes with a version that changes nothing.
+    // Orders without a new version are sent with an empty delta.
     let unchanged = || host.routes_since(host.version()).map(Load::Routes);
     let load = load.or_else(|| (!rollouts.is_empty()).then(unchanged)?);
     let Some(load) = load else { return };
@@ -262,22 +271,22 @@
     tokio::spawn(spread::to_domain(host.clone(), ask.clone(), news));
 }
 
-/// Takes in what another node read, and tells it on.
+/// Applies records that another node read, and relays them.
 pub fn take_news(host: &Arc<Host>, ask: &Ask, mut news: News) {
     if !news.relay.is_empty() {
-        let told_on = News {
+        let relayed = News {
             relay: std::mem::take(&mut news.relay),
             ..news.clone()
         };
-        tokio::spawn(spread::relay(ask.clone(), told_on));
+        tokio::spawn(spread::relay(ask.clone(), relayed));
     }
     here::take(host, news.rollouts, "reader");
     let stream = news.load.stream();
     let is_whole = match news.load {
         Load::Routes(delta) => host.apply_routes(delta, "reader"),
         Load::Members(records) => {
-            take_members(host, &records, "reader");
-            // Every record counts: those before must be known.
+            apply_members(host, &records, "reader");
+            // Each record is about one member, so the records before `from` must be known.
             host.at(stream) >= Some(news.from)
         }
     };
@@ -288,32 +297,32 @@
     }
 }
 
-/// Asks whoever names something newer for it; never returns.
+/// Asks each peer that reports something newer for it; never returns.
 pub async fn follow_hints(host: Arc<Host>, ask: Ask) {
     loop {
         let peer = host.next_hint().await;
-        ask_one(&host, &ask, peer).await;
+        sync_with_peer(&host, &ask, peer).await;
     }
 }
 
-/// Returns the pause after `failures` calls in a row that failed, with a fifth
-/// by chance, so that a fleet does not come back in step.
+/// Returns the pause after `failures` consecutive failed calls, with a jitter of one fifth
+/// up or down, so that the nodes of a fleet don't retry at the same time.
 pub fn pause(failures: u32) -> Duration {
-    let span = (PAUSE * 2u32.saturating_pow(failures.min(8))).min(MAX_PAUSE);
+    let span = (FIRST_PAUSE * 2u32.saturating_pow(failures.min(8))).min(MAX_PAUSE);
     span.mul_f64(0.8 + 0.4 * fastrand::f64())
 }
 
-/// Returns the pause of a duty that has not to find out by itself when the store is
-/// back, where another one of this process does.
+/// Returns the pause of a duty after `failures` consecutive failed calls. It is longer
+/// while another duty of this process retries, because that one notices the store's return.
 pub fn pause_beside(host: &Host, failures: u32) -> Duration {
     if host.is_polling_store() {
-        RELY
+        STORE_RETURN_WAIT
     } else {
         pause(failures)
     }
 }
 
-fn note_up(host: &Host, stream: Stream, failures: u32) {
+fn note_store_up(host: &Host, stream: Stream, failures: u32) {
     if failures > 0 {
         note!(
             host.journal,
@@ -324,7 +333,7 @@
     }
 }
 
-fn note_down(host: &Host, stream: Stream, failures: u32, error: &Error) {
+fn note_store_down(host: &Host, stream: Stream, failures: u32, error: &Error) {
     if failures == 0 {
         let why = crate::logging::chain(error);
         note!(
@@ -336,10 +345,10 @@
     }
 }
 
-/// Asks a few peers how far they are, and the first of them for what it has.
-async fn ask_around(host: &Arc<Host>, ask: &Ask) {
-    let heads = watch::before(host);
-    let heads = heads.iter().rev().take(HEADS);
+/// Asks a few peers for their progress, and the most advanced ones for what they have.
+async fn sync_with_peers(host: &Arc<Host>, ask: &Ask) {
+    let first_ranked = watch::before(host);
+    let first_ranked = first_ranked.iter().rev().take(FIRST_RANKED);
     let peers = {
         let members = host.members.read();
         let others = members
@@ -347,14 +356,17 @@
             .filter(|member| member.node != host.settings.node && member.is_present());
         let (near, far): (Vec<_>, Vec<_>) =
             others.partition(|member| member.domain == host.settings.domain);
-        // Heads first: their links are the widest, and they know it first. Far ones last, to
-        // be asked for the whole only if they are ahead.
-        let mut drawn = fastrand::choose_multiple(heads, 1);
-        drawn.extend(fastrand::choose_multiple(near, PEERS));
-        drawn.extend(fastrand::choose_multiple(far, PEERS));
+        // Of equally advanced peers the first in this list is chosen. First-ranked nodes come
+        // first: they have the fastest links and are the first to receive news. Nodes of
+        // other failure domains come last, so that they send data only if they are ahead.
+        let mut drawn = fastrand::choose_multiple(first_ranked, 1);
+        drawn.extend(fastrand::choose_multiple(near, PEERS_PER_GROUP));
+        drawn.extend(fastrand::choose_multiple(far, PEERS_PER_GROUP));
         drawn.iter().map(|member| member.peers).collect::<Vec<_>>()
     };
-    let asked = peers.into_iter().map(|peer| seen_by(host, ask, peer));
+    let asked = peers
+        .into_iter()
+        .map(|peer| fetch_progress(host, ask, peer));
     let seen: Vec<_> = join_all(asked).await.into_iter().flatten().collect();
     let newest = |of: fn(&Seen) -> u64| seen.iter().rev().max_by_key(|(_, seen)| of(seen));
     if let Some((peer, seen)) = newest(|seen| seen.version) {
@@ -365,19 +377,19 @@
     }
 }
 
-/// Takes what a peer has that is newer than what is held here.
-async fn ask_one(host: &Arc<Host>, ask: &Ask, peer: SocketAddr) {
-    if let Some((_, seen)) = seen_by(host, ask, peer).await {
+/// Fetches from a peer what is newer than the state of this node.
+async fn sync_with_peer(host: &Arc<Host>, ask: &Ask, peer: SocketAddr) {
+    if let Some((_, seen)) = fetch_progress(host, ask, peer).await {
         fetch_routes(host, ask, peer, &seen).await;
         fetch_members(host, ask, peer, &seen).await;
     }
 }
 
-/// Asks a peer how far it is.
+/// Asks a peer which version and offsets it has reached.
 ///
-/// One that does not answer is no loss: the next one that names something newer is
+/// A peer that does not answer does no harm: another peer that reports something newer is
 /// asked, or the next round asks others.
-async fn seen_by(host: &Host, ask: &Ask, peer: SocketAddr) -> Option<(SocketAddr, Seen)> {
+async fn fetch_progress(host: &Host, ask: &Ask, peer: SocketAddr) -> Option<(SocketAddr, Seen)> {
     let answer = ask(peer, Question::Seen).await.ok()?;
     Some((peer, decode(host, &answer, "news", "peer")?))
 }
@@ -386,8 +398,9 @@
     if seen.version > host.version()
         && let Ok(answer) = ask(peer, Question::Routes(host.version())).await
     {
-        take_routes(host, &answer);
-        // Its offset was told before its version, so nothing lies between.
+        apply_routes_answer(host, &answer);
+        // The peer reported this offset before it sent its version, so the version includes
+        // every record up to the offset.
         if host.version() >= seen.version && seen.routes > 0 {
             host.known_to(Stream::Routes, seen.routes);
         }
@@ -400,17 +413,17 @@
     }
     let marks = host.members.read().marks().to_vec();
     if let Ok(answer) = ask(peer, Question::Members(marks)).await {
-        take_table(host, &answer);
+        apply_members_answer(host, &answer);
     }
 }
 
-fn take_routes(host: &Host, answer: &[u8]) {
+fn apply_routes_answer(host: &Host, answer: &[u8]) {
     if let Some(delta) = decode::<Delta>(host, answer, "news", "peer") {
         host.apply_routes(delta, "peer");
     }
 }
 
-fn take_table(host: &Host, answer: &[u8]) {
+fn apply_members_answer(host: &Host, answer: &[u8]) {
     let Some(answer) = decode::<Members<Member>>(host, answer, "news", "peer") else {
         return;
     };
@@ -419,8 +432,8 @@
     host.known_to(Stream::Members, answer.at);
 }
 
-/// Decodes a record or a message of another node, which is MessagePack; one that can't be
-/// decoded is counted and written down.
+/// Decodes a record or a message of another node, which is MessagePack. Counts and logs
+/// input that can't be decoded.
 pub fn decode<T: serde::de::DeserializeOwned>(
     host: &Host,
     bytes: &[u8],
@@ -441,25 +454,25 @@
     decoded.ok()
 }
 
-/// Takes in records of the store; returns what others are to be told of them.
-fn take(host: &Host, stream: Stream, records: Vec<Bytes>) -> Option<Load> {
+/// Applies records from the store; returns what to send to other nodes.
+fn apply_records(host: &Host, stream: Stream, records: Vec<Bytes>) -> Option<Load> {
     match stream {
-        // Only the newest counts; what lies between was in force for nobody. One that
-        // can't be used hides no other.
+        // Only the newest version counts; the ones in between were never in force here. If
+        // the newest can't be decoded, the one before it is used.
         Stream::Routes => {
             let mut newest = records.iter().rev();
             let usable = newest.find_map(|record| host.apply_record(record, "store").ok());
             usable.flatten().map(Load::Routes)
         }
         Stream::Members => {
-            take_members(host, &records, "store");
+            apply_members(host, &records, "store");
             (!records.is_empty()).then_some(Load::Members(records))
         }
     }
 }
 
-/// Takes in orders for roll-outs; returns those that can be used.
-fn take_orders(host: &Host, orders: &[(u64, Bytes)]) -> Vec<Rollout> {
+/// Applies roll-out orders; returns the roll-outs of those that could be decoded.
+fn apply_orders(host: &Host, orders: &[(u64, Bytes)]) -> Vec<Rollout> {
     let decoded = orders.iter().filter_map(|(offset, record)| {
         let order = (host.words.order)(record);
         if let Err(error) = &order {
@@ -489,13 +502,14 @@
     rollouts
 }
 
-/// The key of a roll-out among the members: no node's name has a slash.
+/// Returns the key of a roll-out in the stream of the members. It can't collide with a
+/// node's key, because no node name contains a slash.
 pub fn rollout_key(service: &Name) -> String {
     format!("rollout/{service}")
 }
 
-/// What stands in the stream of the members: a node, or a roll-out, which everyone has to
-/// know that knows the targets.
+/// A record of the stream of the members. It is about a node, or about a roll-out: every
+/// node that knows the targets must know the roll-outs, too.
 enum Record {
     Member(Member),
     Rollout(Rollout),
@@ -508,7 +522,7 @@
     }
 }
 
-fn take_members(host: &Host, records: &[Bytes], from: &str) {
+fn apply_members(host: &Host, records: &[Bytes], from: &str) {
     let (mut members, mut rollouts) = (Vec::new(), Vec::new());
     for record in records {
         match decode_record(host, record, from) {
@@ -521,19 +535,19 @@
     host.take_members(members, from);
 }
 
-/// Returns what the version in force changes about version `base`, in
-/// MessagePack; nothing if no version is in force.
+/// Returns the delta from version `base` to the version in force, as MessagePack, or
+/// nothing if no version is in force.
 pub fn routes(host: &Host, base: u64) -> Option<Bytes> {
     let delta = host.routes_since(base)?;
     let encoded = rmp_serde::to_vec(&delta).expect("plain data always encodes");
     Some(encoded.into())
 }
 
-/// Returns the members that differ from a table with these marks, in MessagePack.
+/// Returns the members that differ from a table with these marks, as MessagePack.
 ///
-/// While a fleet comes back from a loss of power, every node is a little behind some other
-/// all the time. With all members told each time, 295 nodes sent 0.399 GB between failure
-/// domains on such a day; with the difference, 0.226.
+/// While a fleet recovers from a loss of power, every node is constantly a little behind
+/// some other node. With all members in every answer, 295 nodes sent 0.399 GB between
+/// failure domains during a recovery; with only the differing ones, 0.226 GB.
 pub fn members(host: &Host, marks: &[u32]) -> Bytes {
     let at = host.at(Stream::Members).unwrap_or(0);
     let members = host.members.read();
