--- a/src/coordination/decision/mod.rs
+++ b/src/coordination/decision/mod.rs
@@ -1,20 +1,21 @@
-//! Decisions on requests: who waits, who is turned away, where a request goes.
+//! Decisions on requests: admission, routing, retries and quarantine.
 //!
-//! Plain structs and functions. Arrivals, reports and the time come in, decisions come
-//! out; there is no socket, clock, task, lock or log line here, so a load can be
-//! replayed on them in a test with the same outcome each time.
+//! This module holds plain structs and functions. They take arrivals, reports and the time
+//! as arguments and return decisions. They use no socket, clock, task, lock or log line, so
+//! a test can replay a load on them with the same outcome each time.
 //!
-//! * [`queue`]: slots of a target, and those that wait for one;
+//! * [`queue`]: slots of a target, and the requests that wait for one;
 //! * [`balance`]: which node a request goes to;
 //! * [`mod@line`]: which large bodies a host's link may carry;
-//! * [`reach`]: which nodes can't be reached, and when they are tried again;
-//! * [`allowance`]: what may be sent again;
-//! * [`runs`]: which part of what a target runs was sent before;
+//! * [`reach`]: which nodes are unreachable, and when they are probed;
+//! * [`allowance`]: how many retries may be sent;
+//! * [`runs`]: which share of the requests that a target runs are repeats;
 //! * [`age`]: how long callers have been trying;
-//! * [`tries`]: how often a request is tried, and what its caller is told;
-//! * [`quarantine`]: which requests are held back because targets end under them;
-//! * [`rollout`]: how a new release of a service is tried, judged, completed or taken back;
-//! * [`split`]: how requests of a split route are dealt.
+//! * [`tries`]: how often a request is tried, and which response its caller gets;
+//! * [`quarantine`]: which requests are quarantined because targets crash under them;
+//! * [`rollout`]: how a new release of a service is tried, judged, and completed or rolled
+//!   back;
+//! * [`split`]: how the requests of a split route are shared among its services.
 
 pub mod age;
 pub mod allowance;
