--- a/src/coordination/decision/balance.rs
+++ b/src/coordination/decision/balance.rs
@@ -1,11 +1,14 @@
-//! Which node a request goes to, by what this one has seen of each.
+//! Chooses the node that a request goes to, by what this node has observed of each.
 //!
-//! A few targets are drawn, near ones and some further away, and the one counts
-//! at which an answer is expected soonest. Drawing keeps all nodes from rushing to
-//! the same target. The longer way costs its time, and since it is paid for by
-//! the byte, a time for each kilobyte: an upload stays near where a lookup goes to
-//! a faster target elsewhere. A node that can't be reached, or owes answers for
-//! long, gets nothing until it is heard of again.
+//! A few targets are drawn at random, some in the request's failure domain and some in
+//! others, and the one with the shortest expected response time is chosen. Random draws keep
+//! the nodes from all rushing to the same target.
+//!
+//! A target in another failure domain has the cost of the network path added: its round trip
+//! and, since traffic between failure domains is paid for by the byte, a time for each
+//! kilobyte. So an upload stays in its failure domain where a lookup goes to a faster target
+//! elsewhere. A node that is unreachable, or has owed answers for long, gets no requests
+//! until it responds again.
 
 use std::{
     collections::HashMap,
@@ -20,117 +23,121 @@
     state::member::{Member, Status, Table},
 };
 
-/// Near targets that are drawn for one request. Two spread load well; a third
+/// Targets of the request's failure domain that are drawn. Two spread load well; a third
 /// finds a fast one more often where speeds differ by three times.
-const NEAR: usize = 3;
+const NEAR_DRAWS: usize = 3;
 
 /// Targets of other failure domains that are drawn.
-const FAR: usize = 2;
+const FAR_DRAWS: usize = 2;
 
-/// Members that are looked at before all of a service are: with half of them out, three
-/// that are not are found among so many in 998 of 1,000 draws.
-const LOOKS: usize = 16;
+/// Members that are sampled before all of a service are checked: with half of them
+/// excluded, 16 samples hold three that are not in 998 of 1,000 draws.
+const MAX_SAMPLES: usize = 16;
 
-/// What the way to another failure domain and back counts as, in seconds: 3 ms
-/// that it takes, and the bytes of an ordinary answer. At 3 ms alone lookups went
-/// far for gains of a few milliseconds and cost more than they brought
-/// (docs/MEASURES.md).
-const FAR_WAY: f64 = 0.04;
+/// Cost of the round trip to another failure domain, in seconds: 3 ms on the network, and
+/// the bytes of an ordinary answer. At 3 ms alone, lookups went far for gains of a few
+/// milliseconds and cost more than they gained (docs/MEASURES.md).
+const FAR_TRIP_COST: f64 = 0.04;
 
-/// What a kilobyte of a request or its answer to or from another failure domain counts
-/// as, in seconds: an upload of 60 KB, or a download of as much, goes there only if it
-/// would fail here.
-const FAR_KILOBYTE: f64 = 0.007;
+/// Cost of a kilobyte of a request or its answer to or from another failure domain, in
+/// seconds: an upload or download of 60 KB goes there only if it would fail in the failure
+/// domain of the request.
+const FAR_KILOBYTE_COST: f64 = 0.007;
 
-/// How much slower a target gets on the way to its last slot, as a share.
-const NEARLY_FULL: f64 = 0.3;
+/// Slowdown of a target with all slots in use, as a share of the run time. It grows in
+/// proportion to usage.
+const USAGE_COST: f64 = 0.3;
 
-/// The use of slots from which a target is taken for crowded: what is known of it is
-/// up to 0.5 s old, and others send there too.
-const CROWDED: f64 = 0.75;
+/// Usage of slots from which a target counts as crowded. It is below 1 because the known
+/// load is up to 0.5 s old, and other nodes send there, too.
+const CROWDED_USAGE: f64 = 0.75;
 
-/// What each further turn of all slots beyond that counts as, over the work itself.
-/// At 1 beyond the last slot, all rushed to the fast targets, and had to wait or were
-/// refused while slow ones had room (docs/MEASURES.md).
-const CROWD: f64 = 3.0;
+/// Cost of each unit of usage above [`CROWDED_USAGE`], as a multiple of the run time. At 1,
+/// counted from full usage on, all senders rushed to the fast targets, where requests
+/// waited or were refused while slow targets had room (docs/MEASURES.md).
+const CROWDING_COST: f64 = 3.0;
 
-/// What an answer takes on a route of which nothing is known, in seconds.
-const FIRST_MEAN: f64 = 0.15;
+/// Assumed time of an answer on a route without observations, in seconds.
+const INITIAL_MEAN: f64 = 0.15;
 
-/// The weight of the newest request in what is known of a target's speed.
-const NEWEST: f64 = 0.1;
+/// Weight of the newest request in the moving averages of times, sizes and slowdowns.
+const NEWEST_WEIGHT: f64 = 0.1;
 
-/// How long it takes until two thirds of what is known of a target's pace are
-/// forgotten: longer than troubles of a target last in part, shorter than minutes.
-const PACE_LIFE: Duration = Duration::from_secs(10);
+/// Time after which about two thirds of an observed slowdown have decayed: longer than some
+/// faults of targets last, and shorter than minutes.
+const SLOWDOWN_DECAY: Duration = Duration::from_secs(10);
 
-/// The weight of a report in what is known of a target's pace. The target's node saw
-/// all its requests, where this one saw a few.
-const REPORTED: f64 = 0.7;
+/// Weight of a reported slowdown in the moving average of a target's. The target's node has
+/// observed all its requests; this node observed a few.
+const REPORT_WEIGHT: f64 = 0.7;
 
-/// How long a reported load is believed; the mean request lasts about as long.
-const LOAD_LIFE: Duration = Duration::from_millis(500);
+/// Age up to which a reported load is used; the mean request lasts about as long.
+const MAX_LOAD_AGE: Duration = Duration::from_millis(500);
 
-/// How long a node may owe an answer, and give no other, before it is passed
-/// over: several times the mean work of the slowest service of both meshes.
-const SILENCE: Duration = Duration::from_millis(700);
+/// How long a node may owe an answer, and give no other, before it is excluded: several
+/// times the mean run time of the slowest service of both meshes.
+const MAX_SILENCE: Duration = Duration::from_millis(700);
 
-/// How long a node whose target left or fails is passed over the first time. It
-/// doubles with each further failure, up to [`MAX_ABSENCE`].
-const ABSENCE: Duration = Duration::from_millis(200);
+/// First ejection time of a node whose target leaves or fails. The time doubles with each
+/// ejection counted in [`Peer::ejections`], up to [`MAX_EJECTION`].
+const FIRST_EJECTION: Duration = Duration::from_millis(200);
 
-/// The longest that it is passed over before one request tries it again.
-const MAX_ABSENCE: Duration = Duration::from_secs(3);
+/// Longest ejection time, after which requests may try the node again.
+const MAX_EJECTION: Duration = Duration::from_secs(3);
 
-/// How long a node is passed over at whose address another one answers: its host
-/// was replaced, and whoever takes its name again has another incarnation or writes
-/// itself down anew.
-const REPLACED: Duration = Duration::from_secs(30);
+/// Ejection time of a node at whose address another node answers. Its host was replaced: a
+/// node that takes over its name has another incarnation or announces itself anew.
+const REPLACED_EJECTION: Duration = Duration::from_secs(30);
 
-/// Failures of the target itself, in a row, after which it is passed over.
-const FAILURES: u32 = 4;
+/// Failures of a target at which it is ejected; each answer takes one off.
+const MAX_FAILURES: u32 = 4;
 
-/// What is known of the other nodes, and of the own target.
+/// Observations of the other nodes and of this node's own target, by which nodes are chosen.
 #[derive(Debug, Default)]
 pub struct Balance {
     peers: HashMap<Node, Peer>,
-    /// The mean time that targets run a request of each route, in seconds.
-    routes: HashMap<Name, f64>,
+    /// The mean run time of a request of each route, in seconds.
+    run_times: HashMap<Name, f64>,
     /// The mean size of an answer on each route, in bytes.
-    sizes: HashMap<Name, f64>,
-    /// The mean time of an answer to a large body on each route, in seconds.
-    hauls: HashMap<Name, f64>,
-    /// Which nodes can't be reached.
+    answer_sizes: HashMap<Name, f64>,
+    /// The mean response time of requests with a large body or answer on each route, in
+    /// seconds.
+    transfer_times: HashMap<Name, f64>,
+    /// Which nodes are unreachable.
     pub reach: Reach,
 }
 
+/// Observations of one node and its target.
 #[derive(Debug)]
 struct Peer {
-    life: Life,
+    process: Process,
     outstanding: u32,
-    /// When it last gave any sign of life, or was first sent to.
-    heard: Instant,
+    /// When it last responded, or a request was sent to it with no other outstanding.
+    heard_at: Instant,
     report: Option<(Load, Instant)>,
     /// Requests sent since the report.
-    since_report: u32,
-    /// How long its target takes, as its node tells, and since when that is known.
-    pace: Pace,
-    paced: Instant,
-    /// How long large bodies took there, with the way, as this node saw it.
-    haul: Pace,
+    sent_since_report: u32,
+    /// The slowdown of its target, as reported or observed.
+    slowdown: Pace,
+    /// When `slowdown` was last updated.
+    slowdown_at: Instant,
+    /// The slowdown of requests with a large body or answer, network path included, as this
+    /// node observed it.
+    transfer_slowdown: Pace,
     failures: u32,
-    absences: u32,
-    absent_until: Option<Instant>,
+    /// Ejections since the node last responded; a failure of its target counts as a response.
+    ejections: u32,
+    ejected_until: Option<Instant>,
 }
 
-/// The lives of a node and of the target beside it, of which something is known.
+/// The processes of a node and its target that an observation is about.
 #[derive(Debug)]
-struct Life {
+struct Process {
     node: Incarnation,
     target: Option<Instance>,
 }
 
-impl Life {
+impl Process {
     fn of(member: &Member) -> Self {
         Self {
             node: member.incarnation,
@@ -138,7 +145,7 @@
         }
     }
 
-    fn is_of(&self, member: &Member) -> bool {
+    fn matches(&self, member: &Member) -> bool {
         let target = member.targets.first().map(|target| &target.instance);
         self.node == member.incarnation && self.target.as_ref() == target
     }
@@ -149,24 +156,24 @@
 pub enum End {
     /// The target answered after this time.
     Answered(Duration),
-    /// The node refused, the target is unharmed.
+    /// The node refused the request; this is no failure of the target.
     Refused,
-    /// The node says that its target leaves or is gone.
+    /// The node reported that its target is leaving or gone.
     Leaving,
-    /// Another node answers at its address.
+    /// Another node answered at its address.
     Replaced,
-    /// The target failed: it broke off, answered wrongly or with a fault.
+    /// The target failed: it closed the connection, or sent an invalid answer or an error.
     Failed,
     /// No answer came in time.
     Late,
-    /// The node could not be reached.
+    /// The node was unreachable.
     Lost(Loss),
-    /// The caller went away, which says nothing.
+    /// The caller went away, which is no evidence about the node.
     Abandoned,
 }
 
 impl End {
-    /// Returns the word for it in metrics.
+    /// Returns its label value in metrics.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Answered(_) => "answered",
@@ -182,21 +189,22 @@
     }
 }
 
-/// What there is of a service.
+/// Counts of the targets of a service.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Count {
-    /// Targets that are known.
+    /// Known targets.
     pub known: usize,
-    /// Those that drain.
+    /// Draining targets.
     pub draining: usize,
-    /// Others that are passed over: out of reach, or owing answers for long.
+    /// Excluded targets that are not draining: unreachable, ejected, or owing answers for
+    /// long.
     pub passed_over: usize,
 }
 
-/// What a choice is made for.
+/// The request and the node that a choice is made for.
 #[derive(Clone, Copy, Debug)]
 pub struct Wish<'a> {
-    /// The node that chooses. Its own target needs no way to it.
+    /// The node that chooses. It reaches its own target without a network path.
     pub node: &'a Node,
     /// The route of the request.
     pub route: &'a Name,
@@ -204,88 +212,89 @@
     pub service: &'a Name,
     /// The failure domain that it comes from.
     pub domain: &'a Name,
-    /// The bytes of its body.
+    /// The size of its body, in bytes.
     pub bytes: usize,
-    /// How full the target beside the node is.
+    /// The load of the target beside the node.
     pub own: Load,
 }
 
 /// What a node reports of its target with an answer.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Report {
-    /// How full it is.
+    /// The target's load.
     pub load: Option<Load>,
-    /// How long it takes.
+    /// The target's slowdown.
     pub pace: Option<Pace>,
-    /// How long it ran the request. Without it the way and the wait for room count
-    /// too, and a target that gets many uploads seems slower than it is.
+    /// The run time of the request. Without it, the response time is used, which includes
+    /// the network path and the wait for a slot, and a target that gets many uploads seems
+    /// slower than it is.
     pub ran: Option<Duration>,
     /// Whether the request's body was large.
     pub is_large: bool,
 }
 
-/// The node that was chosen, and on what grounds.
+/// The node that was chosen, and the figures that it was chosen by.
 #[derive(Clone, Debug)]
 pub struct Choice {
     /// The node.
     pub member: Arc<Member>,
-    /// Its expected use of slots, 1 being full.
+    /// The expected usage of its target's slots, where 1 is full.
     pub usage: f64,
-    /// How long an answer is expected to take, in seconds; the shortest won.
+    /// The expected time to an answer, in seconds; the lowest of those drawn.
     pub cost: f64,
-    /// How many targets of the service are known.
+    /// The number of known targets of the service.
     pub candidates: usize,
 }
 
 impl Peer {
-    fn new(life: Life, now: Instant) -> Self {
+    fn new(process: Process, now: Instant) -> Self {
         Self {
-            life,
+            process,
             outstanding: 0,
-            heard: now,
+            heard_at: now,
             report: None,
-            since_report: 0,
-            pace: Pace::default(),
-            paced: now,
-            haul: Pace::default(),
+            sent_since_report: 0,
+            slowdown: Pace::default(),
+            slowdown_at: now,
+            transfer_slowdown: Pace::default(),
             failures: 0,
-            absences: 0,
-            absent_until: None,
+            ejections: 0,
+            ejected_until: None,
         }
     }
 
-    fn is_out(&self, now: Instant) -> bool {
-        let is_absent = self.absent_until.is_some_and(|until| now < until);
-        let is_silent = self.outstanding > 0 && self.has_fallen_silent(now);
-        is_absent || is_silent
+    fn is_excluded(&self, now: Instant) -> bool {
+        let is_ejected = self.ejected_until.is_some_and(|until| now < until);
+        let is_unresponsive = self.outstanding > 0 && self.is_overdue(now);
+        is_ejected || is_unresponsive
     }
 
-    /// Returns the requests that the target is thought to hold.
-    fn held(&self, now: Instant) -> u32 {
+    /// Returns the expected number of requests that the target runs or that wait for it.
+    fn expected_requests(&self, now: Instant) -> u32 {
         match self.report {
-            Some((load, at)) if now - at < LOAD_LIFE => {
-                (load.running + load.waiting + self.since_report).max(self.outstanding)
+            Some((load, at)) if now - at < MAX_LOAD_AGE => {
+                (load.running + load.waiting + self.sent_since_report).max(self.outstanding)
             }
             _ => self.outstanding,
         }
     }
 
-    /// Returns how long the target is thought to take. What is known of it fades, so
-    /// that one that was slow is tried again.
-    fn pace(&self, now: Instant) -> f64 {
-        let age = now.saturating_duration_since(self.paced);
-        let known = (-age.as_secs_f64() / PACE_LIFE.as_secs_f64()).exp();
-        Pace::default().towards(self.pace, known).factor()
+    /// Returns the expected slowdown of the target. It decays towards 1, so that a target
+    /// that was slow is tried again.
+    fn slowdown(&self, now: Instant) -> f64 {
+        let age = now.saturating_duration_since(self.slowdown_at);
+        let weight = (-age.as_secs_f64() / SLOWDOWN_DECAY.as_secs_f64()).exp();
+        Pace::default().towards(self.slowdown, weight).factor()
     }
 
-    fn be_absent(&mut self, now: Instant) {
-        let span = ABSENCE * 2u32.saturating_pow(self.absences.min(8));
-        self.absences += 1;
-        self.absent_until = Some(now + span.min(MAX_ABSENCE));
+    fn eject(&mut self, now: Instant) {
+        let span = FIRST_EJECTION * 2u32.saturating_pow(self.ejections.min(8));
+        self.ejections += 1;
+        self.ejected_until = Some(now + span.min(MAX_EJECTION));
     }
 
-    fn has_fallen_silent(&self, now: Instant) -> bool {
-        now - self.heard > SILENCE
+    fn is_overdue(&self, now: Instant) -> bool {
+        now - self.heard_at > MAX_SILENCE
     }
 }
 
@@ -294,45 +303,45 @@
         let peer = self
             .peers
             .entry(member.node.clone())
-            .or_insert_with(|| Peer::new(Life::of(member), now));
-        if !peer.life.is_of(member) {
-            // Another life of the node or of its target: what was held against the old
-            // one is forgiven.
+            .or_insert_with(|| Peer::new(Process::of(member), now));
+        if !peer.process.matches(member) {
+            // Observations of an earlier incarnation of the node, or instance of its
+            // target, say nothing about this one.
             *peer = Peer {
                 outstanding: peer.outstanding,
-                ..Peer::new(Life::of(member), now)
+                ..Peer::new(Process::of(member), now)
             };
         }
         peer
     }
 
-    /// Returns the node to send a request to, if there is one that `may` have it and is not
-    /// passed over.
+    /// Returns the node to send a request to, or `None` if every node that `is_allowed` accepts
+    /// is excluded or has no target of the service.
     pub fn choose(
         &mut self,
         table: &Table,
         wish: Wish<'_>,
-        may: impl Fn(&Member) -> bool,
+        is_allowed: impl Fn(&Member) -> bool,
         now: Instant,
     ) -> Option<Choice> {
         let serves = |member: &Arc<Member>| {
             let mut targets = member.targets.iter();
-            let offered = targets.any(|t| t.service == *wish.service && !t.draining);
-            offered && member.status == Status::Alive && may(member)
+            let has_target = targets.any(|t| t.service == *wish.service && !t.draining);
+            has_target && member.status == Status::Alive && is_allowed(member)
         };
         let [before, near, after] = table.offers_around(wish.service, wish.domain);
         let candidates = before.len() + near.len() + after.len();
-        let mut may_have =
-            |member: &Arc<Member>| serves(member) && !self.is_out(member, wish.node, now);
-        let mut drawn = draw([near, &[]], NEAR, &mut may_have);
-        drawn.extend(draw([before, after], FAR, &mut may_have));
-        // Among equals the first one counts, and must not be the same for all.
+        let mut is_eligible =
+            |member: &Arc<Member>| serves(member) && !self.is_excluded(member, wish.node, now);
+        let mut drawn = draw([near, &[]], NEAR_DRAWS, &mut is_eligible);
+        drawn.extend(draw([before, after], FAR_DRAWS, &mut is_eligible));
+        // The first of equal costs is chosen, and must not be the same at all nodes.
         fastrand::shuffle(&mut drawn);
-        let weighed = drawn.into_iter().map(|member| {
-            let (usage, cost) = self.weigh(member, &wish, now);
+        let estimates = drawn.into_iter().map(|member| {
+            let (usage, cost) = self.estimate(member, &wish, now);
             (member, usage, cost)
         });
-        let best = weighed.min_by(|(_, _, one), (_, _, other)| one.total_cmp(other));
+        let best = estimates.min_by(|(_, _, one), (_, _, other)| one.total_cmp(other));
         best.map(|(member, usage, cost)| Choice {
             member: member.clone(),
             usage,
@@ -341,12 +350,12 @@
         })
     }
 
-    fn is_out(&mut self, member: &Member, me: &Node, now: Instant) -> bool {
-        let is_lost = member.node != *me && self.reach.is_lost(member);
-        is_lost || self.peer(member, now).is_out(now)
+    fn is_excluded(&mut self, member: &Member, me: &Node, now: Instant) -> bool {
+        let is_unreachable = member.node != *me && self.reach.is_lost(member);
+        is_unreachable || self.peer(member, now).is_excluded(now)
     }
 
-    /// Returns what there is of a service, as `me` sees it.
+    /// Returns the number of targets of a service, as the node `me` observes them.
     pub fn count(&mut self, table: &Table, service: &Name, me: &Node, now: Instant) -> Count {
         let mut count = Count::default();
         for member in table.offers(service) {
@@ -354,78 +363,84 @@
             let is_draining = targets.any(|t| t.service == *service && t.draining);
             count.known += 1;
             count.draining += usize::from(is_draining);
-            let is_out = self.is_out(member, me, now);
-            count.passed_over += usize::from(!is_draining && is_out);
+            let is_excluded = self.is_excluded(member, me, now);
+            count.passed_over += usize::from(!is_draining && is_excluded);
         }
         count
     }
 
-    /// Returns a target's use of slots with one more request, 1 being full, and the
-    /// time in which an answer is expected, in seconds.
-    fn weigh(&mut self, member: &Member, wish: &Wish<'_>, now: Instant) -> (f64, f64) {
+    /// Returns the usage of a target's slots with one more request, where 1 is full, and the
+    /// expected time to its answer, in seconds.
+    fn estimate(&mut self, member: &Member, wish: &Wish<'_>, now: Instant) -> (f64, f64) {
         let answer = self.answer_size(wish.route);
         let is_large = is_large(wish.bytes) || is_large(answer);
-        let means = if is_large { &self.hauls } else { &self.routes };
-        let mean = means.get(wish.route).copied().unwrap_or(FIRST_MEAN);
+        let means = if is_large {
+            &self.transfer_times
+        } else {
+            &self.run_times
+        };
+        let mean = means.get(wish.route).copied().unwrap_or(INITIAL_MEAN);
         let target = member.target(wish.service);
         let slots = f64::from(target.map_or(1, |target| target.slots.max(1)));
         let peer = self.peer(member, now);
-        let held = if member.node == *wish.node {
+        let requests = if member.node == *wish.node {
             wish.own.running + wish.own.waiting
         } else {
-            peer.held(now)
+            peer.expected_requests(now)
         };
-        let usage = f64::from(held + 1) / slots;
-        // What a large body or answer takes depends on the links on its way as much as on
-        // the target: sent by the target's pace alone, all uploads of a failure domain met
-        // on the thin link of its fastest target.
-        let pace = if is_large {
-            peer.haul.factor()
+        let usage = f64::from(requests + 1) / slots;
+        // The time of a large body or answer depends on the links on its path as much as on
+        // the target. By the target's slowdown alone, all uploads of a failure domain met on
+        // the thin link of its fastest target.
+        let slowdown = if is_large {
+            peer.transfer_slowdown.factor()
         } else {
-            peer.pace(now)
+            peer.slowdown(now)
         };
-        let work = mean * pace * f64::from(1 + peer.failures);
-        let crowd = CROWD * (usage - CROWDED).max(0.0);
-        let time = work * (1.0 + NEARLY_FULL * usage + crowd);
-        let way = if member.domain == *wish.domain {
+        let run_time = mean * slowdown * f64::from(1 + peer.failures);
+        let crowding = CROWDING_COST * (usage - CROWDED_USAGE).max(0.0);
+        let time = run_time * (1.0 + USAGE_COST * usage + crowding);
+        let path_cost = if member.domain == *wish.domain {
             0.0
         } else {
-            // What every answer has counts as part of the way.
-            let bytes = wish.bytes + answer.saturating_sub(LARGE);
-            FAR_WAY + FAR_KILOBYTE * bytes as f64 / 1024.0
+            // `FAR_TRIP_COST` includes the bytes of an ordinary answer.
+            let bytes = wish.bytes + answer.saturating_sub(MIN_LARGE);
+            FAR_TRIP_COST + FAR_KILOBYTE_COST * bytes as f64 / 1024.0
         };
-        (usage, time + way)
+        (usage, time + path_cost)
     }
 
     /// Returns the mean size of an answer on a route, in bytes; 0 if none is known.
     fn answer_size(&self, route: &Name) -> usize {
-        self.sizes.get(route).map_or(0, |mean| *mean as usize)
+        self.answer_sizes
+            .get(route)
+            .map_or(0, |mean| *mean as usize)
     }
 
-    /// Returns the mean size of an answer on a route of large ones, in bytes; else 0.
+    /// Returns the mean size of an answer on a route, in bytes, if that is large; otherwise 0.
     pub fn large_answer(&self, route: &Name) -> usize {
         let size = self.answer_size(route);
         if is_large(size) { size } else { 0 }
     }
 
-    /// Notes the size of an answer on a route, in bytes.
+    /// Records the size of an answer on a route, in bytes.
     pub fn note_size(&mut self, route: &Name, bytes: usize) {
-        learn(&mut self.sizes, route, bytes as f64);
+        update_mean(&mut self.answer_sizes, route, bytes as f64);
     }
 
-    /// Notes that a request is sent.
+    /// Records that a request is sent to a node.
     pub fn start(&mut self, member: &Member, now: Instant) {
         let peer = self.peer(member, now);
         if peer.outstanding == 0 {
-            peer.heard = now;
+            peer.heard_at = now;
         }
         peer.outstanding += 1;
-        peer.since_report += 1;
+        peer.sent_since_report += 1;
     }
 
-    /// Notes how a request ended, and what the node reported of its target.
+    /// Records how a request ended, and what the node reported of its target.
     ///
-    /// Returns whether the node is passed over from now on.
+    /// Returns whether this excludes the node: it is ejected or newly unreachable.
     pub fn finish(
         &mut self,
         member: &Member,
@@ -434,12 +449,12 @@
         report: Report,
         now: Instant,
     ) -> bool {
-        let (pace, haul) = match end {
+        let (slowdown, transfer_slowdown) = match end {
             End::Answered(took) => {
                 let ran = report.ran.unwrap_or(took);
                 let is_large = report.is_large || is_large(self.answer_size(route));
-                let haul = is_large.then(|| relate(&mut self.hauls, route, took));
-                (relate(&mut self.routes, route, ran), haul)
+                let transfer = is_large.then(|| record_time(&mut self.transfer_times, route, took));
+                (record_time(&mut self.run_times, route, ran), transfer)
             }
             _ => (Pace::default(), None),
         };
@@ -447,120 +462,123 @@
         peer.outstanding = peer.outstanding.saturating_sub(1);
         if let Some(load) = report.load {
             peer.report = Some((load, now));
-            peer.since_report = 0;
+            peer.sent_since_report = 0;
         }
         if !matches!(end, End::Lost(_) | End::Late | End::Abandoned) {
-            peer.heard = now;
-            peer.absences = 0;
-            peer.absent_until = None;
+            peer.heard_at = now;
+            peer.ejections = 0;
+            peer.ejected_until = None;
             self.reach.hear(member);
         }
         let peer = self.peer(member, now);
         match end {
             End::Answered(_) => {
-                let (seen, weight) = match report.pace {
-                    Some(pace) => (pace, REPORTED),
-                    None => (pace, NEWEST),
+                let (newest, weight) = match report.pace {
+                    Some(reported) => (reported, REPORT_WEIGHT),
+                    None => (slowdown, NEWEST_WEIGHT),
                 };
-                if let Some(haul) = haul {
-                    peer.haul = peer.haul.towards(haul, NEWEST);
+                if let Some(transfer) = transfer_slowdown {
+                    peer.transfer_slowdown =
+                        peer.transfer_slowdown.towards(transfer, NEWEST_WEIGHT);
                 }
-                peer.pace = peer.pace.towards(seen, weight);
-                peer.paced = now;
+                peer.slowdown = peer.slowdown.towards(newest, weight);
+                peer.slowdown_at = now;
                 peer.failures = peer.failures.saturating_sub(1);
                 false
             }
             End::Refused | End::Abandoned => false,
             End::Leaving => {
-                peer.be_absent(now);
+                peer.eject(now);
                 true
             }
             End::Replaced => {
-                peer.absent_until = Some(now + REPLACED);
+                peer.ejected_until = Some(now + REPLACED_EJECTION);
                 true
             }
-            // One that has answered others meanwhile has but a slow target.
-            End::Late => peer.has_fallen_silent(now) && self.reach.lose(member, Loss::Silent, now),
+            // A node that answered other requests meanwhile is reachable; only its target is
+            // slow.
+            End::Late => peer.is_overdue(now) && self.reach.lose(member, Loss::Silent, now),
             End::Lost(loss) => self.reach.lose(member, loss, now),
             End::Failed => {
-                peer.failures = (peer.failures + 1).min(FAILURES);
-                let is_out = peer.failures == FAILURES;
-                if is_out {
-                    peer.be_absent(now);
+                peer.failures = (peer.failures + 1).min(MAX_FAILURES);
+                let is_ejected = peer.failures == MAX_FAILURES;
+                if is_ejected {
+                    peer.eject(now);
                 }
-                is_out
+                is_ejected
             }
         }
     }
 
-    /// Forgets nodes that `known` does not know any more.
-    pub fn retain(&mut self, known: impl Fn(&Node) -> bool) {
+    /// Forgets nodes that `is_known` rejects, except those with outstanding requests.
+    pub fn retain(&mut self, is_known: impl Fn(&Node) -> bool) {
         self.peers
-            .retain(|node, peer| peer.outstanding > 0 || known(node));
-        self.reach.retain(known);
+            .retain(|node, peer| peer.outstanding > 0 || is_known(node));
+        self.reach.retain(is_known);
     }
 
-    /// Returns how long targets usually run a request of a route, if any did.
+    /// Returns the mean run time of a request of a route, if any has run.
     pub fn usual(&self, route: &Name) -> Option<Duration> {
-        self.routes
+        self.run_times
             .get(route)
             .map(|mean| Duration::from_secs_f64(*mean))
     }
 }
 
-/// Draws up to `most` members of two lists by chance, each only if `may_have`.
+/// Draws up to `most` eligible members of two lists at random.
 ///
-/// They are drawn first and looked at afterwards: a choice takes 0.8 µs among 164 targets
-/// and 1.9 among 13,000, where looking at all took 8.3 and 967 (`--example choice`).
+/// Members are sampled first and checked afterwards: a choice takes 0.8 µs among 164 targets
+/// and 1.9 µs among 13,000, where checking all took 8.3 and 967 µs (`--example choice`).
 fn draw(
     lists: [&[Arc<Member>]; 2],
     most: usize,
-    mut may_have: impl FnMut(&Arc<Member>) -> bool,
+    mut is_eligible: impl FnMut(&Arc<Member>) -> bool,
 ) -> Vec<&Arc<Member>> {
     let [first, second] = lists;
     let count = first.len() + second.len();
     let mut drawn = Vec::with_capacity(most);
-    let mut looked_at = Vec::with_capacity(LOOKS);
-    while count > LOOKS && looked_at.len() < LOOKS {
+    let mut sampled = Vec::with_capacity(MAX_SAMPLES);
+    while count > MAX_SAMPLES && sampled.len() < MAX_SAMPLES {
         let at = fastrand::usize(..count);
-        if looked_at.contains(&at) {
+        if sampled.contains(&at) {
             continue;
         }
-        looked_at.push(at);
+        sampled.push(at);
         let member = first.get(at).unwrap_or_else(|| &second[at - first.len()]);
-        if may_have(member) {
+        if is_eligible(member) {
             drawn.push(member);
         }
         if drawn.len() == most {
             return drawn;
         }
     }
-    // Few, or most of them out.
+    // The lists are short, or the samples held too few eligible members: check all.
     let all = first.iter().chain(second);
-    fastrand::choose_multiple(all.filter(|member| may_have(member)), most)
+    fastrand::choose_multiple(all.filter(|member| is_eligible(member)), most)
 }
 
-/// Returns the pace of a request that took so long, and takes it into the mean of its
+/// Returns the slowdown of a request that took so long, and adds its time to the mean of its
 /// route.
-fn relate(means: &mut HashMap<Name, f64>, route: &Name, took: Duration) -> Pace {
-    let before = learn(means, route, took.as_secs_f64());
+fn record_time(means: &mut HashMap<Name, f64>, route: &Name, took: Duration) -> Pace {
+    let before = update_mean(means, route, took.as_secs_f64());
     Pace::of(took, Duration::from_secs_f64(before))
 }
 
-/// Takes a value into the mean of its route; returns the mean before, which is the value
-/// itself where it is the first.
-fn learn(means: &mut HashMap<Name, f64>, route: &Name, value: f64) -> f64 {
+/// Adds a value to the moving average of its route; returns the average before, or the value
+/// itself if it is the first.
+fn update_mean(means: &mut HashMap<Name, f64>, route: &Name, value: f64) -> f64 {
     let mean = means.entry(route.clone()).or_insert(value);
     let before = *mean;
-    *mean += NEWEST * (value - before);
+    *mean += NEWEST_WEIGHT * (value - before);
     before
 }
 
-/// The smallest body, in bytes, whose way counts: it fills a good part of a
-/// millisecond of an ordinary link, and 11 of a thin one of 10 Mbit/s.
-const LARGE: usize = 14 << 10;
+/// Smallest body, in bytes, that counts as large, and whose transfer is part of the cost: it
+/// takes a good part of a millisecond on an ordinary link, and 11 ms on a thin one of
+/// 10 Mbit/s.
+const MIN_LARGE: usize = 14 << 10;
 
-/// Returns whether a body of this many bytes is a large one.
+/// Returns whether a body of this many bytes is large.
 pub fn is_large(bytes: usize) -> bool {
-    bytes >= LARGE
+    bytes >= MIN_LARGE
 }
