--- a/src/coordination/decision/queue.rs
+++ b/src/coordination/decision/queue.rs
@@ -1,13 +1,13 @@
-//! Who gets a slot of a target, who waits for one, and who is turned away.
+//! Admission queue of a target: which request gets a slot, waits for one, or is rejected.
 //!
-//! The load that it answers: more requests than slots, of callers with different
-//! deadlines. All requests of a target pass one queue, so it knows what runs. It never
-//! gives more than the slots, lets a few wait, and turns the rest away before the target
-//! sees them. What can't end in time behind those that wait is turned away at once. No
-//! slot stays free while something waits.
+//! The queue is for loads of more requests than slots, from callers with different deadlines.
+//! All requests of a target pass one queue, so it knows what the target runs. It never grants
+//! more than the slots, lets a few requests wait, and rejects the others before the target
+//! sees them. A request that can't end in time behind those that wait is rejected at once. No
+//! slot stays free while a request waits.
 //!
-//! The time comes in as an argument, and what waits is a value of the caller's: the
-//! sender of a wake-up in [`gate`](crate::coordination::gate), a number in a replay.
+//! The time is an argument. What waits is a value of the caller's: the sender of a wake-up
+//! in [`gate`](crate::coordination::gate), a number in a replayed load.
 
 use std::{
     collections::BTreeMap,
@@ -19,90 +19,91 @@
     unit::Span,
 };
 
-/// Weight of the newest request in the mean of how long one takes.
-const NEWEST: f64 = 0.1;
+/// Weight of the newest request in the moving averages of run time and slowdown.
+const NEWEST_WEIGHT: f64 = 0.1;
 
-/// What a request is taken to last before the first one has ended, in seconds.
-/// The stories of both meshes name 120 to 160 ms of work.
-const FIRST_MEAN: f64 = 0.15;
+/// Assumed run time before the first request has ended, in seconds. The user stories of both
+/// meshes name 120 to 160 ms.
+const INITIAL_MEAN: f64 = 0.15;
 
-/// Requests that wait, for each slot. Longer queues serve nobody in time: at
-/// twice the slots the last waiter comes after two whole requests.
+/// Requests that may wait, for each slot. Longer queues serve nobody in time: at twice the
+/// slots, the last request waits for two whole runs.
 const QUEUE_PER_SLOT: usize = 2;
 
-/// The shortest time after which a refused caller is asked to come back: a round trip
-/// within a region and the turn of a slot.
+/// Shortest time after which a rejected caller is asked to retry: a round trip within a
+/// region and the turnover of a slot.
 pub const MIN_RETRY_AFTER: Span = Span::from_millis(10);
 
-/// Runs over which callers are spread that will be late anyway, so that those who were
-/// refused together do not come back together.
-const SPREAD_RUNS: f64 = 2.0;
+/// Mean runs over which the retries of callers that will be late anyway are spread, so that
+/// those that were rejected together don't retry together.
+const RETRY_SPREAD_RUNS: f64 = 2.0;
 
-/// The part of its spare time that a request may wait: one over this. A run takes
-/// longer than the mean as often as not, and a longer queue serves nobody more. Days of
-/// high load were worth a hundredth less with the whole of it; a quarter measured the
-/// same (docs/POLICY.md).
-const WAITED: u32 = 2;
+/// Divisor of a request's slack that gives its maximum wait. The rest of the slack is kept
+/// because a run takes longer than the mean as often as not, and because a longer queue
+/// serves no more requests (docs/POLICY.md).
+const SLACK_DIVISOR: u32 = 2;
 
-/// Slots for each late request that may wait: enough that none stays free.
-const LATE_PER_SLOTS: usize = 4;
+/// Slots for each late request that may wait: one request for four slots is enough to leave no
+/// slot free.
+const SLOTS_PER_LATE: usize = 4;
 
-/// The slots of a target, and those that wait for one.
+/// The slots of a target, and the requests that wait for one.
 #[derive(Debug)]
 pub struct Queue<W> {
     slots: u32,
     running: u32,
-    /// In the order in which they are let in.
+    /// In the order in which they are admitted.
     waiting: BTreeMap<Place, W>,
-    next: u64,
+    next_sequence: u64,
+    /// The mean run time, in seconds.
     mean: f64,
-    pace: Pace,
+    slowdown: Pace,
 }
 
-/// What a request brings.
+/// The properties of a request that decide on its admission.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
-    /// Its rank; 0 goes first.
+    /// Its priority; 0 goes first.
     pub priority: u8,
-    /// When it should be answered; among equals in rank the earliest goes first.
-    /// So the short calls that a target makes amid a request go before whole
-    /// requests, and load does not turn into parents that wait for calls that wait
-    /// for parents.
+    /// Its due time, by which it should be answered. Among requests of equal priority, the
+    /// earliest goes first. So the short calls that a target makes during a request go
+    /// before whole requests, and load can't leave parents waiting for calls that wait for
+    /// other parents.
     pub due: Instant,
-    /// How long it may wait for room at the most, by its caller's time.
+    /// Its maximum wait for a slot, limited by the time that its caller has left.
     pub patience: Duration,
-    /// How long such a request usually runs, where it came from.
+    /// The usual run time of such a request, as observed by the node that sent it.
     pub usual: Option<Duration>,
 }
 
-/// A place among those that wait, in the order in which they are let in.
+/// A position in the queue, in the order of admission.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Place {
     priority: u8,
-    /// Whether it can't be expected to end in time. Were the earliest due let in
-    /// whatever came of it, slots would go to answers that are late anyway while
-    /// fresh requests turn late behind them.
+    /// Whether the request is expected to miss its due time. If due times alone decided,
+    /// slots would go to answers that are late anyway, while new requests become late
+    /// behind them.
     is_late: bool,
     due: Instant,
-    /// Tells equals apart.
-    count: u64,
+    /// Orders requests that are otherwise equal by arrival.
+    sequence: u64,
 }
 
-/// What becomes of a request that arrives.
+/// The decision on a request that arrives.
 #[derive(Debug)]
 pub enum Entry<W> {
     /// It has a slot.
     Entered,
-    /// It waits, for so long at the most.
+    /// It waits for a slot.
     Waits {
-        /// Where it waits.
+        /// Its position.
         place: Place,
-        /// How long it waits at the most.
+        /// Its maximum wait.
         patience: Duration,
-        /// Who is turned away for it.
+        /// The waiting request that is rejected to make room for it.
         displaced: Option<W>,
     },
-    /// It is turned away.
+    /// It is rejected.
     Full,
 }
 
@@ -112,27 +113,29 @@
             slots: 0,
             running: 0,
             waiting: BTreeMap::new(),
-            next: 0,
-            mean: FIRST_MEAN,
-            pace: Pace::default(),
+            next_sequence: 0,
+            mean: INITIAL_MEAN,
+            slowdown: Pace::default(),
         }
     }
 }
 
 impl<W> Queue<W> {
-    /// Sets how many requests the target runs at a time. What
-    /// [`grant`](Self::grant) gives may be more then.
+    /// Sets how many requests the target runs at a time.
+    ///
+    /// With more slots than before, [`grant`](Self::grant) may admit waiting requests.
     pub fn set_slots(&mut self, slots: u32) {
         self.slots = slots;
     }
 
-    /// Forgets how long requests took: another instance runs them now.
-    pub fn forget_speed(&mut self) {
-        self.mean = FIRST_MEAN;
-        self.pace = Pace::default();
+    /// Resets the mean run time and the slowdown, because another instance runs the requests
+    /// from now on.
+    pub fn reset_run_times(&mut self) {
+        self.mean = INITIAL_MEAN;
+        self.slowdown = Pace::default();
     }
 
-    /// Returns how full the target is.
+    /// Returns the target's load.
     pub fn load(&self) -> Load {
         Load {
             running: self.running,
@@ -141,19 +144,20 @@
         }
     }
 
-    /// Returns how long the target takes, over what is usual.
+    /// Returns the target's slowdown, the ratio of run times to usual run times.
     pub fn pace(&self) -> Pace {
-        self.pace
+        self.slowdown
     }
 
-    /// Notes how long a request ran that usually takes `usual`, where it came from.
+    /// Records the run time of a request whose `usual` run time was observed by the node that
+    /// sent it.
     pub fn note_run(&mut self, took: Duration, usual: Duration) {
-        self.pace = self.pace.towards(Pace::of(took, usual), NEWEST);
+        self.slowdown = self.slowdown.towards(Pace::of(took, usual), NEWEST_WEIGHT);
     }
 
-    /// Decides on a request that arrives; `waiter` is kept if it waits.
+    /// Decides on a request that arrives; `waiter` is kept if the request waits.
     pub fn arrive(&mut self, arrival: &Arrival, waiter: W, now: Instant) -> Entry<W> {
-        if self.has_room() && self.waiting.is_empty() {
+        if self.has_free_slot() && self.waiting.is_empty() {
             self.running += 1;
             return Entry::Entered;
         }
@@ -163,13 +167,13 @@
         let displaced = if self.waiting.len() < self.slots as usize * QUEUE_PER_SLOT {
             None
         } else {
-            // The last one makes room for one that goes before it.
+            // The last one makes room for a request that goes before it.
             match self.waiting.last_key_value() {
                 Some((last, _)) if *last > place => self.waiting.pop_last(),
                 _ => return Entry::Full,
             }
         };
-        self.next += 1;
+        self.next_sequence += 1;
         self.waiting.insert(place, waiter);
         Entry::Waits {
             place,
@@ -178,15 +182,18 @@
         }
     }
 
-    /// Returns whether a request that arrived now would be let in or wait.
+    /// Returns whether a request that arrived now would get a slot, or could expect one within
+    /// its maximum wait.
+    ///
+    /// This does not check whether the queue is full.
     pub fn has_place(&self, arrival: &Arrival, now: Instant) -> bool {
-        let is_free = self.has_room() && self.waiting.is_empty();
+        let is_free = self.has_free_slot() && self.waiting.is_empty();
         is_free || self.place(arrival, now).is_some()
     }
 
-    /// Lets the next one in, if there is room for it.
+    /// Admits the next waiting request, if a slot is free.
     pub fn grant(&mut self) -> Option<W> {
-        if !self.has_room() {
+        if !self.has_free_slot() {
             return None;
         }
         let (_, waiter) = self.waiting.pop_first()?;
@@ -194,94 +201,99 @@
         Some(waiter)
     }
 
-    /// Gives a slot back, after a run of this time if there was one.
+    /// Frees a slot, after a run of this time if there was one.
     pub fn leave(&mut self, took: Option<Duration>) {
         self.running = self.running.saturating_sub(1);
         if let Some(took) = took {
-            self.mean += NEWEST * (took.as_secs_f64() - self.mean);
+            self.mean += NEWEST_WEIGHT * (took.as_secs_f64() - self.mean);
         }
     }
 
-    /// Takes one that stopped waiting out; returns whether it still waited.
+    /// Removes a request that stopped waiting; returns whether it was still in the queue.
     pub fn give_up(&mut self, place: &Place) -> bool {
         self.waiting.remove(place).is_some()
     }
 
-    /// Turns away all that wait.
+    /// Rejects all waiting requests by dropping their waiters.
     pub fn clear(&mut self) {
         self.waiting.clear();
     }
 
-    /// Returns when a request that is turned away may return: once room is expected
-    /// that still helps it, else spread over a few runs by `spread`, a number between 0
-    /// and 1 drawn by chance.
+    /// Returns how long the caller of a rejected request should wait before it retries.
+    ///
+    /// That is until a slot is expected to be free, if the request can still end in time
+    /// then. Otherwise up to `RETRY_SPREAD_RUNS` mean runs are added, in proportion to
+    /// `spread`, a random number from 0 to 1.
     pub fn retry_after(&self, arrival: &Arrival, spread: f64, now: Instant) -> Span {
-        let soon = self.turn() * (self.waiting.len() + 1) as u32;
-        let later = match self.spare(arrival, now) {
-            Some(spare) if spare > soon => soon,
-            _ => soon + Duration::from_secs_f64(self.mean * SPREAD_RUNS * spread),
+        let until_free = self.turn() * (self.waiting.len() + 1) as u32;
+        let wait = match self.slack(arrival, now) {
+            Some(slack) if slack > until_free => until_free,
+            _ => until_free + Duration::from_secs_f64(self.mean * RETRY_SPREAD_RUNS * spread),
         };
-        Span::of(later).max(MIN_RETRY_AFTER)
+        Span::of(wait).max(MIN_RETRY_AFTER)
     }
 
-    fn has_room(&self) -> bool {
+    fn has_free_slot(&self) -> bool {
         self.running < self.slots
     }
 
-    /// Returns how long one in `place` will wait.
+    /// Returns the expected wait of a request at `place`.
     fn wait(&self, place: &Place) -> Duration {
         let ahead = self.waiting.range(..place).count();
         self.turn() * (ahead + 1) as u32
     }
 
-    /// Returns how long it takes until some slot is free, while all are taken.
+    /// Returns the slot turnover time: how long it takes until a slot is free, while all are
+    /// in use.
     pub fn turn(&self) -> Duration {
         Duration::from_secs_f64(self.mean) / self.slots.max(1)
     }
 
-    /// Returns how long a request may wait and still end in time, if at all.
-    fn spare(&self, arrival: &Arrival, now: Instant) -> Option<Duration> {
+    /// Returns the slack of a request: how long it may wait and still end in time. `None` if
+    /// it can't.
+    fn slack(&self, arrival: &Arrival, now: Instant) -> Option<Duration> {
         let run = match arrival.usual {
-            Some(usual) => usual.mul_f64(self.pace.factor()),
+            Some(usual) => usual.mul_f64(self.slowdown.factor()),
             None => Duration::from_secs_f64(self.mean),
         };
         arrival.due.checked_duration_since(now + run)
     }
 
-    /// Returns the place of a request that comes now, and how long it may wait there;
-    /// none if it would wait in vain.
+    /// Returns the place of a request that arrives now, and its maximum wait there; `None` if
+    /// it is not expected to be admitted within that.
     fn place(&self, arrival: &Arrival, now: Instant) -> Option<(Place, Duration)> {
         let place = Place {
             priority: arrival.priority,
             is_late: false,
             due: arrival.due,
-            count: self.next,
+            sequence: self.next_sequence,
         };
-        let spare = self.spare(arrival, now).unwrap_or_default();
-        // A wait is for the runs of others, so its bounds are no shorter than those: the
-        // queue is so many runs long, and a slot is free after a turn.
-        let run = Duration::from_secs_f64(self.mean);
-        let own = arrival.usual.unwrap_or(run);
-        let longest = (own.max(run) * QUEUE_PER_SLOT as u32).min(arrival.patience);
-        let patience = (spare / WAITED).min(longest);
-        if self.wait(&place) <= patience {
-            return Some((place, patience));
+        let slack = self.slack(arrival, now).unwrap_or_default();
+        // A request waits for the runs of others, so the bounds on its wait are no shorter
+        // than those take: a full queue takes `QUEUE_PER_SLOT` mean runs, and the next slot is
+        // free after one turnover.
+        let mean_run = Duration::from_secs_f64(self.mean);
+        let own_run = arrival.usual.unwrap_or(mean_run);
+        let longest = (own_run.max(mean_run) * QUEUE_PER_SLOT as u32).min(arrival.patience);
+        let max_wait = (slack / SLACK_DIVISOR).min(longest);
+        if self.wait(&place) <= max_wait {
+            return Some((place, max_wait));
         }
         let place = Place {
             is_late: true,
             ..place
         };
-        let places = (self.slots as usize / LATE_PER_SLOTS).max(1);
-        let patience = own
-            .clamp(self.turn() * places as u32, run)
+        let late_places = (self.slots as usize / SLOTS_PER_LATE).max(1);
+        let max_wait = own_run
+            .clamp(self.turn() * late_places as u32, mean_run)
             .min(arrival.patience);
-        // Lower ranks are passed by. With them counted, requests whose objective is near
-        // their run starved behind lower ranks: 10 pairs of kinds in 60 generated loads.
-        let in_rank = self
+        // Waiting requests of lower priority are not counted. Counting them starved requests
+        // whose objective is close to their run time behind requests of lower priority.
+        let ahead = self
             .waiting
             .keys()
             .take_while(|p| p.priority <= place.priority);
-        let has_place = in_rank.count() < places && self.wait(&place) <= patience;
-        has_place.then_some((place, patience))
+        let has_place = ahead.count() < late_places && self.wait(&place) <= max_wait;
+        has_place.then_some((place, max_wait))
     }
 }
--- a/src/coordination/gate.rs
+++ b/src/coordination/gate.rs
@@ -1,8 +1,9 @@
-//! The gate before the target on this host.
+//! Admission to the target on this host.
 //!
-//! Nobody but the node beside it reaches a target, so the gate knows all that
-//! the target runs. A refusal of the gate is always "not run". Who enters is decided in
-//! [`queue`](crate::coordination::decision::queue); here waiting tasks are woken.
+//! A target is reached only through the node beside it, so the gate knows all requests that
+//! the target runs. A refusal by the gate always has the outcome "not run". The decision on
+//! admission is made in [`queue`](crate::coordination::decision::queue); the gate wakes the
+//! tasks that wait.
 
 use std::{
     net::SocketAddr,
@@ -26,50 +27,50 @@
     },
 };
 
-/// The gate. Cheap to clone; all clones are one gate.
+/// Admits requests to the target on this host. Cheap to clone; all clones share their state.
 #[derive(Clone, Default)]
 pub struct Gate {
     state: Arc<Mutex<State>>,
 }
 
-/// The target behind the gate, as it last announced itself.
+/// The target behind the gate, from its latest announcement.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Target {
-    /// The life of its process.
+    /// The instance of its process.
     pub instance: Instance,
-    /// Where it is reached.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// Requests it runs at a time.
+    /// The number of requests that it runs at a time.
     pub slots: u32,
 }
 
-/// Leave to send one request to the target; ends when it is dropped.
+/// Permission to send one request to the target. Dropping it frees the slot.
 pub struct Permit {
     gate: Gate,
-    /// The target as it is now.
+    /// The target at the time of admission.
     pub target: Target,
-    since: Instant,
-    /// Whether the run is a repeat, once it has begun.
-    is_again: Option<bool>,
+    admitted_at: Instant,
+    /// Whether the run is a repeat; `None` until it begins.
+    is_repeat: Option<bool>,
 }
 
 #[derive(Default)]
 struct State {
     target: Option<Target>,
-    closed: bool,
-    /// What waits is woken with the sender; dropped, it turns its task away.
+    is_closed: bool,
+    /// The senders wake waiting tasks. A task whose sender is dropped is refused.
     queue: Queue<oneshot::Sender<()>>,
     runs: Runs,
 }
 
-/// Why a request may not enter now.
+/// Why no request is admitted now.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Bar {
+enum Unavailable {
     Closed,
     NoTarget,
 }
 
-impl Bar {
+impl Unavailable {
     fn refusal(self) -> Refusal {
         let reason = match self {
             Self::Closed => LEAVING,
@@ -79,48 +80,48 @@
     }
 }
 
-/// The reason of a refusal at a target that leaves.
+/// Reason of a refusal while the target is leaving.
 pub const LEAVING: &str = "target is leaving";
 
-/// The reason of a refusal where no target has announced itself.
+/// Reason of a refusal while the gate has no target.
 pub const NO_TARGET: &str = "no target is here";
 
-/// The reason of a refusal for want of room.
+/// Reason of a refusal for lack of a free slot.
 pub const FULL: &str = "target is full";
 
-/// Returns the refusal of a request for which no target is here.
+/// Returns the refusal of a request because the gate has no target.
 pub fn no_target() -> Refusal {
-    Bar::NoTarget.refusal()
+    Unavailable::NoTarget.refusal()
 }
 
 impl Gate {
-    /// Returns a gate with no target behind it.
+    /// Returns a gate without a target.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Opens the gate to `target`, or notes what changed about it.
+    /// Opens the gate to `target`, or updates the target's slots, address and instance.
     pub fn open(&self, target: Target) {
         let mut state = self.state.lock();
-        let held = state.target.as_ref();
-        // Nothing of an earlier life's pace is believed of this one.
-        if held.is_none_or(|held| held.instance != target.instance) {
-            state.queue.forget_speed();
+        let current = state.target.as_ref();
+        // The run times of an earlier instance say nothing about this one.
+        if current.is_none_or(|current| current.instance != target.instance) {
+            state.queue.reset_run_times();
         }
         state.queue.set_slots(target.slots);
         state.target = Some(target);
-        state.closed = false;
+        state.is_closed = false;
         state.grant();
     }
 
-    /// Lets nothing more through; what waits is refused.
+    /// Closes the gate: refuses waiting requests and all later ones.
     pub fn close(&self) {
         let mut state = self.state.lock();
-        state.closed = true;
+        state.is_closed = true;
         state.queue.clear();
     }
 
-    /// Takes the target away: it fell silent or its connections are refused.
+    /// Removes the target, which has stopped announcing itself or refuses connections.
     pub fn vacate(&self) {
         let mut state = self.state.lock();
         state.target = None;
@@ -128,104 +129,112 @@
         state.queue.clear();
     }
 
-    /// Returns how full the target is.
+    /// Returns the target's load.
     pub fn load(&self) -> Load {
         self.state.lock().queue.load()
     }
 
-    /// Returns how long it takes until some slot is free, while all are taken.
+    /// Returns the slot turnover time: how long it takes until a slot is free, while all are
+    /// in use.
     pub fn turn(&self) -> Duration {
         self.state.lock().queue.turn()
     }
 
-    /// Notes how long a request ran that usually takes `usual`, where it came from.
+    /// Records the run time of a request whose `usual` run time was observed by the node that
+    /// sent it.
     pub fn note_run(&self, took: Duration, usual: Duration) {
         self.state.lock().queue.note_run(took, usual);
     }
 
-    /// Returns how long the target takes, over what is usual.
+    /// Returns the target's slowdown, the ratio of run times to usual run times.
     pub fn pace(&self) -> Pace {
         self.state.lock().queue.pace()
     }
 
-    /// Returns the part of the runs under way that are repeats.
+    /// Returns the share of repeats among the requests that the target runs, from 0 to 1.
     pub fn repeats(&self) -> f64 {
         self.state.lock().runs.repeats()
     }
 
-    /// Waits for leave to send one request to the target.
+    /// Returns a permit to send one request to the target, after a wait for a slot if none is
+    /// free.
     ///
     /// # Errors
     ///
-    /// The refusal, at once where no wait would help.
+    /// The refusal. It comes at once if the gate is closed, there is no target, or no slot is
+    /// expected to be free in time.
     pub async fn enter(&self, arrival: Arrival) -> Result<Permit, Refusal> {
-        let (grant, mut granted) = oneshot::channel();
+        let (sender, mut receiver) = oneshot::channel();
         let (place, patience) = {
             let mut state = self.state.lock();
-            if let Some(bar) = state.bar() {
-                return Err(bar.refusal());
+            if let Some(unavailable) = state.unavailable() {
+                return Err(unavailable.refusal());
             }
-            match state.queue.arrive(&arrival, grant, Instant::now()) {
+            match state.queue.arrive(&arrival, sender, Instant::now()) {
                 Entry::Entered => return Ok(self.permit(&state)),
-                Entry::Full => return Err(state.full(&arrival)),
+                Entry::Full => return Err(state.refuse_full(&arrival)),
                 Entry::Waits {
                     place, patience, ..
                 } => (place, patience),
             }
         };
-        // Whoever stops waiting, by time or because its caller left, takes its
-        // place out of the queue, or gives back what was just granted.
+        // If the wait ends by timeout, or because the caller went away and this future is
+        // dropped, the waiter leaves the queue or frees the slot that it was just granted.
         let mut waiter = Waiter {
             gate: self,
             place: Some(place),
-            granted: &mut granted,
+            receiver: &mut receiver,
         };
-        match tokio::time::timeout(patience, &mut *waiter.granted).await {
+        match tokio::time::timeout(patience, &mut *waiter.receiver).await {
             Ok(Ok(())) => {
                 waiter.place = None;
                 let state = self.state.lock();
-                if let Some(bar) = state.bar() {
+                if let Some(unavailable) = state.unavailable() {
                     drop(state);
                     self.leave(None);
-                    return Err(bar.refusal());
+                    return Err(unavailable.refusal());
                 }
                 Ok(self.permit(&state))
             }
             Ok(Err(_)) => {
                 waiter.place = None;
                 let state = self.state.lock();
-                // The gate closed, or one that goes before it took its place.
+                // The gate closed, the target was removed, or a request that goes before this
+                // one displaced it.
                 Err(state
-                    .bar()
-                    .map_or_else(|| state.full(&arrival), Bar::refusal))
+                    .unavailable()
+                    .map_or_else(|| state.refuse_full(&arrival), Unavailable::refusal))
             }
-            Err(_) => Err(self.state.lock().full(&arrival)),
+            Err(_) => Err(self.state.lock().refuse_full(&arrival)),
         }
     }
 
-    /// Returns at once whether a request could enter or wait here now: before its body is
-    /// sent for, which must not come in vain.
+    /// Checks whether a request could be admitted or wait now. It is used before the body of
+    /// the request is asked for, so that no body is sent in vain.
     ///
     /// # Errors
     ///
-    /// The refusal that it would get.
+    /// The refusal that the request would get.
     pub fn check(&self, arrival: &Arrival) -> Result<(), Refusal> {
         let state = self.state.lock();
-        if let Some(bar) = state.bar() {
-            return Err(bar.refusal());
+        if let Some(unavailable) = state.unavailable() {
+            return Err(unavailable.refusal());
         }
         match state.queue.has_place(arrival, Instant::now()) {
             true => Ok(()),
-            false => Err(state.full(arrival)),
+            false => Err(state.refuse_full(arrival)),
         }
     }
 
     fn permit(&self, state: &State) -> Permit {
         Permit {
             gate: self.clone(),
-            target: state.target.clone().expect("checked by `bar`"),
-            since: Instant::now(),
-            is_again: None,
+            target: state
+                .target
+                .clone()
+                .expect("a permit is issued only while there is a target"),
+            admitted_at: Instant::now(),
+            is_repeat: None,
         }
     }
 
@@ -236,48 +245,51 @@
     }
 }
 
+/// Leaves the queue when it is dropped, unless the wait has ended.
 struct Waiter<'a> {
     gate: &'a Gate,
+    /// Its place in the queue; `None` once the wait has ended.
     place: Option<Place>,
-    granted: &'a mut oneshot::Receiver<()>,
+    receiver: &'a mut oneshot::Receiver<()>,
 }
 
 impl Drop for Waiter<'_> {
     fn drop(&mut self) {
         let Some(place) = self.place else { return };
-        let waited = self.gate.state.lock().queue.give_up(&place);
-        // Else it was granted in the same moment, or turned away and had no slot.
-        if !waited && self.granted.try_recv().is_ok() {
+        let was_waiting = self.gate.state.lock().queue.give_up(&place);
+        // If it had left the queue already, it was either granted a slot, which is freed here,
+        // or refused, and holds none.
+        if !was_waiting && self.receiver.try_recv().is_ok() {
             self.gate.leave(None);
         }
     }
 }
 
 impl State {
-    fn bar(&self) -> Option<Bar> {
-        if self.closed {
-            Some(Bar::Closed)
+    fn unavailable(&self) -> Option<Unavailable> {
+        if self.is_closed {
+            Some(Unavailable::Closed)
         } else if self.target.is_none() {
-            Some(Bar::NoTarget)
+            Some(Unavailable::NoTarget)
         } else {
             None
         }
     }
 
-    fn full(&self, arrival: &Arrival) -> Refusal {
-        let again = self
+    fn refuse_full(&self, arrival: &Arrival) -> Refusal {
+        let retry_after = self
             .queue
             .retry_after(arrival, fastrand::f64(), Instant::now());
-        Refusal::not_run(FULL, again)
+        Refusal::not_run(FULL, retry_after)
     }
 
-    /// Wakes those that have room now.
+    /// Wakes the waiting tasks for which slots are free now.
     fn grant(&mut self) {
-        while !self.closed {
+        while !self.is_closed {
             let Some(waiter) = self.queue.grant() else {
                 return;
             };
-            // One that has just stopped waiting is passed over.
+            // The task has just stopped waiting, so the slot goes to the next one.
             if waiter.send(()).is_err() {
                 self.queue.leave(None);
             }
@@ -286,18 +298,19 @@
 }
 
 impl Permit {
-    /// Notes that the request goes to the target now, and whether one has seen it before.
-    pub fn begin(&mut self, is_again: bool) {
-        self.gate.state.lock().runs.start(is_again);
-        self.is_again = Some(is_again);
+    /// Records that the request is sent to the target now; `is_repeat` if a target has already
+    /// seen it.
+    pub fn begin(&mut self, is_repeat: bool) {
+        self.gate.state.lock().runs.start(is_repeat);
+        self.is_repeat = Some(is_repeat);
     }
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        if let Some(is_again) = self.is_again {
-            self.gate.state.lock().runs.end(is_again);
+        if let Some(is_repeat) = self.is_repeat {
+            self.gate.state.lock().runs.end(is_repeat);
         }
-        self.gate.leave(Some(self.since.elapsed()));
+        self.gate.leave(Some(self.admitted_at.elapsed()));
     }
 }
