--- a/src/coordination/decision/runs.rs
+++ b/src/coordination/decision/runs.rs
@@ -1,12 +1,12 @@
-//! Which part of what the targets on a host run was sent before.
+//! Share of repeats among the requests that the targets on a host run.
 //!
-//! The load that it answers: targets of one service turn requests away or fail them, and
-//! what is sent again runs at others and makes its calls there. To the node that sends such
-//! a call it looks like any first send, but it would not be there without the repeat. One of
-//! the runs under way has made it, so the part of them that are repeats says how likely it
-//! is due to one; which of them it was need not be known.
+//! When targets of one service reject or fail requests, these are retried, run at other
+//! targets, and make their calls there. To the node that sends such a call, it looks like any
+//! first attempt, but without the repeat it would not have been made. One of the runs in
+//! progress has made it, so the share of repeats among them is the probability that a repeat
+//! made it. Which run it was need not be known.
 
-/// Runs under way.
+/// Counts of the requests that targets are running, and of the repeats among them.
 ///
 /// # Example
 ///
@@ -14,8 +14,8 @@
 /// use rilltrack::coordination::decision::runs::Runs;
 ///
 /// let mut runs = Runs::default();
-/// for is_again in [false, false, false, true] {
-///     runs.start(is_again);
+/// for is_repeat in [false, false, false, true] {
+///     runs.start(is_repeat);
 /// }
 /// assert_eq!(runs.repeats(), 0.25);
 /// runs.end(true);
@@ -23,33 +23,33 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Runs {
-    count: u32,
-    again: u32,
+    total: u32,
+    repeated: u32,
 }
 
 impl Runs {
-    /// Notes that a run begins, and whether a target has seen its request before.
-    pub fn start(&mut self, is_again: bool) {
-        self.count += 1;
-        self.again += u32::from(is_again);
+    /// Records that a run begins; `is_repeat` if a target has already seen its request.
+    pub fn start(&mut self, is_repeat: bool) {
+        self.total += 1;
+        self.repeated += u32::from(is_repeat);
     }
 
-    /// Notes that such a run ends.
-    pub fn end(&mut self, is_again: bool) {
-        self.count -= 1;
-        self.again -= u32::from(is_again);
+    /// Records that a run ends, with the same `is_repeat` as at its start.
+    pub fn end(&mut self, is_repeat: bool) {
+        self.total -= 1;
+        self.repeated -= u32::from(is_repeat);
     }
 
-    /// Returns these runs and `other` ones together.
+    /// Returns the sum of these counts and `other`.
     pub fn and(self, other: Self) -> Self {
         Self {
-            count: self.count + other.count,
-            again: self.again + other.again,
+            total: self.total + other.total,
+            repeated: self.repeated + other.repeated,
         }
     }
 
-    /// Returns the part of the runs that are repeats; nothing if there are none.
+    /// Returns the share of repeats among the runs, from 0 to 1; 0 if there are no runs.
     pub fn repeats(&self) -> f64 {
-        f64::from(self.again) / f64::from(self.count.max(1))
+        f64::from(self.repeated) / f64::from(self.total.max(1))
     }
 }
