--- a/src/coordination/decision/age.rs
+++ b/src/coordination/decision/age.rs
@@ -1,9 +1,9 @@
-//! How long callers have been trying, by the time that they have left.
+//! Estimates how long callers have been trying, from the time that they have left.
 //!
-//! A caller that was refused comes back with less time than it began with. Nobody says
-//! how much that was, but first tries have the most, and with few retries each are a good
-//! part of all requests of a route: the time that few requests of a route exceed is taken for what its callers
-//! begin with.
+//! A caller that was rejected retries with less time than it began with. Requests don't carry
+//! the initial time. But first attempts have the most time left, and where callers retry a few
+//! times each, a good part of a route's requests are first attempts. So the time left that
+//! only a few of a route's requests exceed is taken for the initial time of its callers.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -12,63 +12,69 @@
 
 use crate::id::Name;
 
-/// Requests of a route that are remembered: some tenths of a second of a busy one.
-const KEPT: usize = 64;
+/// Samples kept for each route: some tenths of a second of a busy one.
+const SAMPLES_PER_ROUTE: usize = 64;
 
-/// Part of the requests that may have more time than is taken for the whole: callers
-/// that wait longer than others.
-const EXCEED: f64 = 0.15;
+/// Share of a route's requests that may have more time left than the estimated initial time.
+/// They are of callers that wait longer than others.
+const EXCEEDING_SHARE: f64 = 0.15;
 
-/// How often the whole is looked for anew, in requests.
-const EVERY: usize = 8;
+/// Requests of a route after which its initial time is estimated anew.
+const REQUESTS_PER_ESTIMATE: usize = 8;
 
-/// A difference that is no age, but rounding.
-const SLACK: Duration = Duration::from_millis(2);
+/// Largest difference from the initial time that is treated as rounding.
+const MAX_ROUNDING: Duration = Duration::from_millis(2);
 
-/// What callers of each route had left of late.
+/// Recent samples of the time that callers of each route had left.
 #[derive(Debug, Default)]
 pub struct Ages {
-    routes: HashMap<Name, Seen>,
+    routes: HashMap<Name, Samples>,
 }
 
 #[derive(Debug, Default)]
-struct Seen {
+struct Samples {
+    /// The times left, oldest first.
     left: VecDeque<Duration>,
-    since: usize,
-    whole: Duration,
+    since_estimate: usize,
+    /// The estimated initial time.
+    initial: Duration,
 }
 
 impl Ages {
-    /// Notes that a request of `route` came with `left` of its caller's time.
+    /// Records that a request of `route` came with `left` of its caller's time.
     ///
-    /// Returns how long its caller has been trying.
+    /// Returns the estimated time that its caller has been trying.
     pub fn note(&mut self, route: &Name, left: Duration) -> Duration {
-        let seen = self.routes.entry(route.clone()).or_default();
-        seen.note(left);
-        let age = seen.whole.saturating_sub(left);
-        if age <= SLACK { Duration::ZERO } else { age }
+        let samples = self.routes.entry(route.clone()).or_default();
+        samples.add(left);
+        let age = samples.initial.saturating_sub(left);
+        if age <= MAX_ROUNDING {
+            Duration::ZERO
+        } else {
+            age
+        }
     }
 
-    /// Forgets routes that `known` does not know any more.
-    pub fn retain(&mut self, known: impl Fn(&Name) -> bool) {
-        self.routes.retain(|route, _| known(route));
+    /// Forgets routes that `is_known` rejects.
+    pub fn retain(&mut self, is_known: impl Fn(&Name) -> bool) {
+        self.routes.retain(|route, _| is_known(route));
     }
 }
 
-impl Seen {
-    /// Notes what a caller had left, and looks for the whole anew every few requests.
-    fn note(&mut self, left: Duration) {
-        if self.left.len() == KEPT {
+impl Samples {
+    /// Adds a sample, and estimates the initial time anew every few samples.
+    fn add(&mut self, left: Duration) {
+        if self.left.len() == SAMPLES_PER_ROUTE {
             self.left.pop_front();
         }
         self.left.push_back(left);
-        self.since += 1;
-        if self.since >= EVERY || self.left.len() < EVERY {
-            self.since = 0;
+        self.since_estimate += 1;
+        if self.since_estimate >= REQUESTS_PER_ESTIMATE || self.left.len() < REQUESTS_PER_ESTIMATE {
+            self.since_estimate = 0;
             let mut sorted: Vec<_> = self.left.iter().copied().collect();
-            let above = (sorted.len() as f64 * EXCEED) as usize;
+            let exceeding = (sorted.len() as f64 * EXCEEDING_SHARE) as usize;
             sorted.sort_unstable();
-            self.whole = sorted[sorted.len() - 1 - above];
+            self.initial = sorted[sorted.len() - 1 - exceeding];
         }
     }
 }
