--- a/src/coordination/decision/split.rs
+++ b/src/coordination/decision/split.rs
@@ -1,4 +1,4 @@
-//! Which service of a split route gets the next request.
+//! Chooses the service that gets the next request of a split route.
 
 use std::collections::HashMap;
 
@@ -7,18 +7,20 @@
     state::routing::{Part, Route},
 };
 
-/// Deals the requests of each route to its parts by weight, evenly in any
-/// stretch of requests: smooth weighted round robin.
+/// Smooth weighted round robin over the parts of each route.
 ///
-/// Drawing by chance would miss the weights in short windows.
+/// It follows the weights closely in any run of consecutive requests. Random draws would miss
+/// them in short windows.
 #[derive(Debug, Default)]
 pub struct Split {
-    routes: HashMap<Name, Deal>,
+    routes: HashMap<Name, RoundRobin>,
 }
 
 #[derive(Debug)]
-struct Deal {
+struct RoundRobin {
     parts: Vec<Part>,
+    /// The credit of each part: it grows by the part's weight with each request, and falls by
+    /// the total weight when the part is chosen.
     credits: Vec<i64>,
 }
 
@@ -28,22 +30,22 @@
         if let [only] = &route.parts[..] {
             return only.service.clone();
         }
-        let deal = self
+        let round_robin = self
             .routes
             .entry(route.name.clone())
-            .or_insert_with(|| Deal::new(&route.parts));
-        if deal.parts != route.parts {
-            *deal = Deal::new(&route.parts);
+            .or_insert_with(|| RoundRobin::new(&route.parts));
+        if round_robin.parts != route.parts {
+            *round_robin = RoundRobin::new(&route.parts);
         }
-        deal.next()
+        round_robin.next()
     }
 }
 
-impl Deal {
+impl RoundRobin {
     fn new(parts: &[Part]) -> Self {
-        let all: i64 = parts.iter().map(|part| i64::from(part.weight)).sum();
-        // Nodes start at different places, or all would deal alike.
-        let credits = parts.iter().map(|_| fastrand::i64(0..all.max(1)));
+        let total: i64 = parts.iter().map(|part| i64::from(part.weight)).sum();
+        // Random initial credits keep the nodes from choosing in the same order.
+        let credits = parts.iter().map(|_| fastrand::i64(0..total.max(1)));
         Self {
             parts: parts.to_vec(),
             credits: credits.collect(),
@@ -51,16 +53,16 @@
     }
 
     fn next(&mut self) -> Name {
-        let mut all = 0;
+        let mut total = 0;
         for (credit, part) in self.credits.iter_mut().zip(&self.parts) {
             *credit += i64::from(part.weight);
-            all += i64::from(part.weight);
+            total += i64::from(part.weight);
         }
         let weighted = (0..self.parts.len()).filter(|i| self.parts[*i].weight > 0);
         let next = weighted
             .max_by_key(|i| self.credits[*i])
-            .expect("a route has a part with a weight");
-        self.credits[next] -= all;
+            .expect("a route has a part with a weight above 0");
+        self.credits[next] -= total;
         self.parts[next].service.clone()
     }
 }
