--- a/examples/choice.rs
+++ b/examples/choice.rs
@@ -1,4 +1,4 @@
-//! What choosing a target costs, by how many offer the service:
+//! Measures the time to choose a target, by the number of targets of the service:
 //!
 //!     cargo run --release --example choice
 
@@ -14,21 +14,22 @@
     },
 };
 
-/// Choices that are timed at each size.
+/// Choices that are timed for each number of targets.
 const CHOICES: u32 = 20_000;
 
-/// Failure domains over which the targets are spread.
+/// Number of failure domains over which the targets are spread.
 const DOMAINS: usize = 5;
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("{:>8} {:>12}", "targets", "us a choice");
     for targets in [20, 164, 1_000, 13_000] {
-        println!("{targets:>8} {:>12.2}", micros(targets)?);
+        println!("{targets:>8} {:>12.2}", choice_micros(targets)?);
     }
     Ok(())
 }
 
-fn micros(targets: usize) -> Result<f64, Box<dyn std::error::Error>> {
+/// Returns the mean time of a choice among so many targets, in microseconds.
+fn choice_micros(targets: usize) -> Result<f64, Box<dyn std::error::Error>> {
     let mut table = Table::default();
     for number in 0..targets {
         table.merge(member(number)?);
@@ -44,11 +45,11 @@
         own: Load::default(),
     };
     let mut balance = Balance::default();
-    let since = Instant::now();
+    let started = Instant::now();
     for _ in 0..CHOICES {
         black_box(balance.choose(&table, wish, |_| true, Instant::now()));
     }
-    Ok(since.elapsed().as_secs_f64() * 1e6 / f64::from(CHOICES))
+    Ok(started.elapsed().as_secs_f64() * 1e6 / f64::from(CHOICES))
 }
 
 fn member(number: usize) -> Result<Member, Box<dyn std::error::Error>> {
