--- a/src/coordination/decision/balance.rs
+++ b/src/coordination/decision/balance.rs
@@ -67,8 +67,8 @@
 /// faults of targets last, and shorter than minutes.
 const SLOWDOWN_DECAY: Duration = Duration::from_secs(10);
 
-/// Weight of a reported slowdown in the moving average of a target's. The target's node has
-/// observed all its requests; this node observed a few.
+/// Weight of a reported slowdown in the moving average for its target. The target's node has
+/// observed all its requests; this node has observed a few.
 const REPORT_WEIGHT: f64 = 0.7;
 
 /// Age up to which a reported load is used; the mean request lasts about as long.
@@ -111,9 +111,11 @@
 #[derive(Debug)]
 struct Peer {
     process: Process,
+    /// Requests that were sent to it and have not ended.
     outstanding: u32,
     /// When it last responded, or a request was sent to it with no other outstanding.
     heard_at: Instant,
+    /// The load in its last report, and when that came.
     report: Option<(Load, Instant)>,
     /// Requests sent since the report.
     sent_since_report: u32,
@@ -124,6 +126,7 @@
     /// The slowdown of requests with a large body or answer, network path included, as this
     /// node observed it.
     transfer_slowdown: Pace,
+    /// Failures of its target less answers, from 0 to [`MAX_FAILURES`].
     failures: u32,
     /// Ejections since the node last responded; a failure of its target counts as a response.
     ejections: u32,
