--- a/src/coordination/decision/reach.rs
+++ b/src/coordination/decision/reach.rs
@@ -1,14 +1,14 @@
-//! Which nodes can't be reached, and when they are tried again.
+//! Unreachable nodes and failure domains, and when each is probed.
 //!
-//! Requests never try: each would wait for a connection that does not come about,
-//! at every node, for every node beyond a cut. A node that was lost is asked how it
-//! is beside the requests ([`probe`](crate::coordination::probe)), at growing
-//! distances, and gets work again once it answers.
+//! Requests are never used as probes: on every node, a request would have to wait for a
+//! connection timeout for each node of a partitioned failure domain. Unreachable nodes are
+//! probed in the background ([`probe`](crate::coordination::probe)) with exponential
+//! backoff, and get requests again once they answer.
 //!
-//! Several nodes of one failure domain that fall silent in a row, with nothing
-//! heard of the domain between, are taken for a cut: the whole domain is passed
-//! over, and one of its nodes at a time is tried for all of them. So a cut costs a
-//! node a few lost requests, however many nodes lie beyond it.
+//! If several nodes of one failure domain stop answering in a row, and no node of it
+//! answers in between, the domain counts as partitioned: no requests go to it, and one of
+//! its nodes at a time is probed on behalf of all. So a partition costs a node a few failed
+//! requests, however many nodes the failure domain has.
 
 use std::{
     collections::HashMap,
@@ -21,205 +21,217 @@
     state::member::{Member, Table},
 };
 
-/// The pause before a lost node is tried the first time. It doubles with each
-/// failure, up to [`MAX_PAUSE`].
-const PAUSE: Duration = Duration::from_millis(200);
+/// The pause before the first probe of an unreachable node. It doubles with each failed
+/// probe, up to [`MAX_PAUSE`].
+const FIRST_PAUSE: Duration = Duration::from_millis(200);
 
-/// The longest pause. A node that comes back idles for so long at the most; with
-/// 0.25 s for a connection, 73 nodes that try a dead one are 22 tries a second.
+/// The longest pause between probes of a node, and so the longest time that a recovered
+/// node gets no requests. With a connection timeout of 0.25 s, 73 nodes that probe the same
+/// dead node send 22 probes a second.
 const MAX_PAUSE: Duration = Duration::from_secs(3);
 
-/// The longest pause for a whole failure domain: much more idles there.
+/// The longest pause between probes of a partitioned failure domain. It is shorter than
+/// [`MAX_PAUSE`] because a whole domain without requests leaves far more capacity unused.
 const MAX_DOMAIN_PAUSE: Duration = Duration::from_secs(1);
 
-/// Nodes of one failure domain that fall silent in a row before it is taken for cut
-/// off. One is a dead host and two may be chance; a cut loses all that are asked.
-const CUT: u32 = 3;
+/// Nodes of one failure domain that stop answering in a row before the domain counts as
+/// partitioned. One node may be a dead host and two a coincidence; in a partition, every
+/// node that is asked fails to answer.
+const PARTITION_NODES: u32 = 3;
 
-/// Nodes that are tried at a time.
-const AT_ONCE: usize = 8;
+/// Unreachable nodes that are probed together. Partitioned failure domains come first and
+/// add one node each, even beyond this number.
+const MAX_PROBES: usize = 8;
 
-/// How a node was lost.
+/// How a node failed to answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Loss {
-    /// Nothing came back: the host or the way to it is gone.
+    /// There was no response: the host or the network path to it is down.
     Silent,
-    /// Its host refuses connections: the process is gone, the way is there.
+    /// The host refused the connection: it is reachable, but the node's process is gone.
     Closed,
 }
 
-/// The nodes and failure domains that can't be reached.
+/// The nodes and failure domains that are unreachable.
 #[derive(Debug, Default)]
 pub struct Reach {
-    nodes: HashMap<Node, Lost>,
+    nodes: HashMap<Node, Outage>,
     domains: HashMap<Name, Domain>,
 }
 
+/// Since when a node or a failure domain is unreachable, and when it is probed next.
 #[derive(Debug)]
-struct Lost {
+struct Outage {
     domain: Name,
     since: Instant,
-    again: Again,
+    backoff: Backoff,
 }
 
 #[derive(Debug, Default)]
 struct Domain {
-    /// Nodes that fell silent since anything was heard of the domain.
-    silent: u32,
-    cut: Option<Lost>,
+    /// Nodes that stopped answering since any node of the domain last answered.
+    unanswered: u32,
+    /// Set while the domain is partitioned.
+    outage: Option<Outage>,
 }
 
-/// When something is tried again.
+/// When the next probe is sent.
 #[derive(Clone, Copy, Debug)]
-struct Again {
+struct Backoff {
     failures: u32,
-    at: Instant,
-    is_under_way: bool,
+    next_probe: Instant,
+    is_probing: bool,
 }
 
-impl Again {
+impl Backoff {
     fn new(now: Instant) -> Self {
         Self {
             failures: 0,
-            at: now + PAUSE,
-            is_under_way: false,
+            next_probe: now + FIRST_PAUSE,
+            is_probing: false,
         }
     }
 
-    fn put_off(&mut self, most: Duration, now: Instant) {
+    /// Records a failed probe and schedules the next one after at most `max_pause`.
+    fn extend(&mut self, max_pause: Duration, now: Instant) {
         self.failures += 1;
-        let pause = (PAUSE * 2u32.saturating_pow(self.failures.min(8))).min(most);
-        // By chance, lest a fleet that lost the same node tries it in step.
-        self.at = now + pause.mul_f64(0.8 + 0.4 * fastrand::f64());
-        self.is_under_way = false;
+        let pause = (FIRST_PAUSE * 2u32.saturating_pow(self.failures.min(8))).min(max_pause);
+        // Jitter, so that nodes which found the same node unreachable don't probe it in step.
+        self.next_probe = now + pause.mul_f64(0.8 + 0.4 * fastrand::f64());
+        self.is_probing = false;
     }
 
     fn is_due(&self, now: Instant) -> bool {
-        !self.is_under_way && self.at <= now
+        !self.is_probing && self.next_probe <= now
     }
 }
 
 impl Reach {
-    /// Returns whether a node is passed over.
+    /// Returns whether a node, or its whole failure domain, is unreachable.
     pub fn is_lost(&self, member: &Member) -> bool {
         !self.nodes.is_empty()
             && (self.nodes.contains_key(&member.node) || self.is_cut(&member.domain))
     }
 
-    /// Returns whether a failure domain is taken for cut off.
+    /// Returns whether a failure domain counts as partitioned.
     pub fn is_cut(&self, domain: &Name) -> bool {
         let domain = self.domains.get(domain);
-        domain.is_some_and(|domain| domain.cut.is_some())
+        domain.is_some_and(|domain| domain.outage.is_some())
     }
 
-    /// Notes that a node could not be reached; returns whether that is news.
+    /// Records that a node failed to answer. Returns whether it was reachable before.
     pub fn lose(&mut self, member: &Member, loss: Loss, now: Instant) -> bool {
-        let is_news = !self.nodes.contains_key(&member.node);
-        let lost = self
+        let is_new = !self.nodes.contains_key(&member.node);
+        let outage = self
             .nodes
             .entry(member.node.clone())
-            .or_insert_with(|| Lost {
+            .or_insert_with(|| Outage {
                 domain: member.domain.clone(),
                 since: now,
-                again: Again::new(now),
+                backoff: Backoff::new(now),
             });
-        // What else was under way there when it was lost says nothing new.
-        if lost.again.is_under_way {
-            lost.again.put_off(MAX_PAUSE, now);
+        // Without a probe under way, the failure is one of a request that was sent before the
+        // node became unreachable, and is no reason to extend the backoff.
+        if outage.backoff.is_probing {
+            outage.backoff.extend(MAX_PAUSE, now);
         }
         match loss {
-            Loss::Closed => self.hear_domain(&member.domain),
-            Loss::Silent => self.lose_domain(member, is_news, now),
+            Loss::Closed => self.record_domain_answer(&member.domain),
+            Loss::Silent => self.record_no_response(member, is_new, now),
         }
-        is_news
+        is_new
     }
 
-    fn lose_domain(&mut self, member: &Member, is_news: bool, now: Instant) {
+    /// Records for the failure domain of `member` that this node did not respond.
+    fn record_no_response(&mut self, member: &Member, is_new: bool, now: Instant) {
         let domain = self.domains.entry(member.domain.clone()).or_default();
-        domain.silent += u32::from(is_news);
-        match &mut domain.cut {
-            Some(cut) if cut.again.is_under_way => cut.again.put_off(MAX_DOMAIN_PAUSE, now),
+        domain.unanswered += u32::from(is_new);
+        match &mut domain.outage {
+            Some(outage) if outage.backoff.is_probing => {
+                outage.backoff.extend(MAX_DOMAIN_PAUSE, now);
+            }
             Some(_) => {}
-            None if domain.silent >= CUT => {
-                domain.cut = Some(Lost {
+            None if domain.unanswered >= PARTITION_NODES => {
+                domain.outage = Some(Outage {
                     domain: member.domain.clone(),
                     since: now,
-                    again: Again::new(now),
+                    backoff: Backoff::new(now),
                 });
             }
             None => {}
         }
     }
 
-    /// Notes that a node gave a sign of life; returns whether it was passed over.
+    /// Records that a node answered. Returns whether it was unreachable before.
     pub fn hear(&mut self, member: &Member) -> bool {
         if self.nodes.is_empty() {
             return false;
         }
-        self.hear_domain(&member.domain);
-        let was_lost = self.nodes.remove(&member.node).is_some();
+        self.record_domain_answer(&member.domain);
+        let was_unreachable = self.nodes.remove(&member.node).is_some();
         if self.nodes.is_empty() {
             self.domains.clear();
         }
-        was_lost
+        was_unreachable
     }
 
-    /// Notes that a failure domain is there. Nodes that were lost by the cut may
-    /// have work again; each that is dead is found out by one request.
-    fn hear_domain(&mut self, domain: &Name) {
-        let Some(held) = self.domains.get_mut(domain) else {
+    /// Records that a failure domain is reachable. Nodes that became unreachable with its
+    /// partition get requests again; each node that is dead is detected by one request.
+    fn record_domain_answer(&mut self, domain: &Name) {
+        let Some(state) = self.domains.get_mut(domain) else {
             return;
         };
-        held.silent = 0;
-        if let Some(cut) = held.cut.take() {
-            let began = cut.since.checked_sub(MAX_PAUSE).unwrap_or(cut.since);
+        state.unanswered = 0;
+        if let Some(outage) = state.outage.take() {
+            // The first nodes failed before the domain counted as partitioned.
+            let began = outage.since.checked_sub(MAX_PAUSE).unwrap_or(outage.since);
             self.nodes
-                .retain(|_, lost| lost.domain != *domain || lost.since < began);
+                .retain(|_, node| node.domain != *domain || node.since < began);
         }
     }
 
-    /// Returns the members to ask now.
+    /// Returns the members to probe now, and marks them as being probed.
     pub fn due(&mut self, table: &Table, now: Instant) -> Vec<Arc<Member>> {
         let mut due = Vec::new();
         for (name, domain) in &mut self.domains {
-            let Some(cut) = domain.cut.as_mut().filter(|cut| cut.again.is_due(now)) else {
+            let Some(outage) = domain.outage.as_mut().filter(|o| o.backoff.is_due(now)) else {
                 continue;
             };
             let inside = table
                 .iter()
                 .filter(|member| member.domain == *name && member.is_present());
             due.extend(fastrand::choose_multiple(inside, 1).into_iter().cloned());
-            cut.again.is_under_way = true;
+            outage.backoff.is_probing = true;
         }
         let domains = &self.domains;
-        let is_cut = |name: &Name| domains.get(name).is_some_and(|d| d.cut.is_some());
-        for (node, lost) in &mut self.nodes {
-            if due.len() >= AT_ONCE {
+        let is_cut = |name: &Name| domains.get(name).is_some_and(|d| d.outage.is_some());
+        for (node, outage) in &mut self.nodes {
+            if due.len() >= MAX_PROBES {
                 break;
             }
-            if lost.again.is_due(now) && !is_cut(&lost.domain) {
-                lost.again.is_under_way = true;
+            if outage.backoff.is_due(now) && !is_cut(&outage.domain) {
+                outage.backoff.is_probing = true;
                 due.extend(table.get(node).cloned());
             }
         }
         due
     }
 
-    /// Returns when something is due next.
+    /// Returns when the next probe is due, or `None` if there is none to wait for.
     pub fn next(&self) -> Option<Instant> {
-        let cuts = self.domains.values().filter_map(|d| d.cut.as_ref());
+        let partitions = self.domains.values().filter_map(|d| d.outage.as_ref());
         let nodes = self
             .nodes
             .values()
-            .filter(|lost| !self.is_cut(&lost.domain));
-        let open = cuts
+            .filter(|outage| !self.is_cut(&outage.domain));
+        let waiting = partitions
             .chain(nodes)
-            .filter(|lost| !lost.again.is_under_way)
-            .map(|lost| lost.again.at);
-        open.min()
+            .filter(|outage| !outage.backoff.is_probing)
+            .map(|outage| outage.backoff.next_probe);
+        waiting.min()
     }
 
-    /// Forgets nodes that `known` does not know any more.
+    /// Forgets the nodes for which `known` returns false.
     pub fn retain(&mut self, known: impl Fn(&Node) -> bool) {
         self.nodes.retain(|node, _| known(node));
         if self.nodes.is_empty() {
