--- a/src/coordination/decision/tries.rs
+++ b/src/coordination/decision/tries.rs
@@ -1,10 +1,10 @@
-//! How often one request is tried, how long it waits at each node, and what its caller
-//! is told in the end.
+//! The attempts of one request: how many there are, how long the request may wait at each
+//! node, and which result its caller gets.
 //!
-//! The load that it answers: nodes that refuse for want of room, targets that shed or
-//! fail part of what they get, and ways that break. What was refused before a target saw
-//! it goes on to another node for nothing; what a target has seen is a repeat, which the
-//! fleet's [`allowance`](crate::coordination::decision::allowance) must have room for.
+//! It is made for overloaded nodes that refuse requests, targets that shed or fail part of
+//! their requests, and broken network paths. A request that was refused before a target saw
+//! it goes to another node at no cost. One that a target has seen is a repeat and takes from
+//! the retry budget of the fleet ([`allowance`](crate::coordination::decision::allowance)).
 
 use std::time::{Duration, Instant};
 
@@ -19,82 +19,85 @@
     unit::Span,
 };
 
-/// Nodes that are asked for room for one request. A refusal takes a round trip
-/// and costs the target nothing, but each further one finds less time.
-const ASKED: usize = 4;
+/// Nodes that may be asked to run one request. A refusal takes a round trip and costs the
+/// target nothing, but each further node has less time left.
+const MAX_ASKED_NODES: usize = 4;
 
-/// The part of the time left that a request may wait at one node: one over this. So
-/// another one can still be asked when a node says nothing.
-const WAITED: u32 = 2;
+/// Divisor of the time left: a request may wait at one node for half of it, so that another
+/// node can still be asked if the first one doesn't answer.
+const WAIT_DIVISOR: u32 = 2;
 
-/// The longest that a late request may wait at one node: a little over the mean run of
-/// the slowest service of both meshes, 410 ms, in which all of its slots turn over.
-const LATE_WAIT: Duration = Duration::from_millis(500);
+/// The longest time that a request past its due time may wait at one node. The slowest
+/// service of both meshes has a mean run time of 410 ms, after which all of its slots have
+/// turned over; this is a little more.
+const MAX_LATE_WAIT: Duration = Duration::from_millis(500);
 
-/// Runs that a request waits for a node's leave to send its body: as many as a gate's queue
-/// is long. A node that gives none by then says nothing any more.
-const OFFERED_RUNS: u32 = 2;
+/// The time that a request may wait until a node accepts its body, in usual run times. The
+/// queue of a target is as long: two requests for each slot. A node that has not answered by
+/// then is unlikely to answer at all.
+const OFFER_WAIT_RUNS: u32 = 2;
 
-/// How long such a request runs at the least for that, so that short ones wait for the
-/// turn of a slot too: calls amid requests take a part of it, whole ones several times.
-const OFFERED_RUN: Duration = Duration::from_millis(100);
+/// The shortest run time that counts for [`OFFER_WAIT_RUNS`], so that short requests, too,
+/// can wait for a slot to turn over. Calls that a target makes during a request run for a
+/// fraction of it, other requests for several times as long.
+const MIN_OFFER_RUN: Duration = Duration::from_millis(100);
 
-/// When callers are asked to come back when no target could be had.
-const NO_TARGET_AGAIN: Span = Span::from_millis(200);
+/// The `retry-after` that callers get if no target was available.
+const NO_TARGET_RETRY_AFTER: Span = Span::from_millis(200);
 
-/// What was tried for one request so far; `A` is an answer of a target.
+/// The attempts of one request so far; `A` is an answer of a target.
 #[derive(Debug)]
 pub struct Tries<A> {
     /// The nodes that were asked.
     pub nodes: Vec<Node>,
-    /// Targets that have seen the request.
+    /// The number of targets that have seen the request.
     pub arrivals: u32,
-    /// What the caller is told if nothing better comes.
-    last: Option<Last<A>>,
+    /// The result for the caller unless a later attempt gives a better one.
+    fallback: Option<Fallback<A>>,
 }
 
-/// What is tried.
+/// The request that is sent.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// The service that is to run it.
+    /// The service that it goes to.
     pub service: &'a Name,
     /// Whether it may run more than once.
     pub kind: Kind,
-    /// Its rank; 0 goes first.
+    /// Its priority; 0 is the highest.
     pub priority: u8,
-    /// Targets that may see it.
+    /// The number of targets that may see it.
     pub attempts: u32,
-    /// How likely it is a call of a run that is a repeat.
+    /// The probability that it is a call made by a run that is a repeat.
     pub carried: f64,
-    /// When it should be answered, counted from its caller's first try.
+    /// The due time of its objective, counted from its caller's first attempt.
     pub due: Instant,
-    /// When its caller has no more use for an answer.
+    /// When its caller stops waiting for an answer.
     pub deadline: Instant,
 }
 
-/// How one try ended.
+/// The result of one attempt.
 #[derive(Debug)]
 pub enum Ended<A> {
-    /// With the target's answer, which may tell of a fault of its own.
+    /// The target answered, perhaps with an error.
     Answered {
         /// The answer.
         answer: A,
-        /// Whether it is a fault.
+        /// Whether the answer reports a failure of the target.
         is_fault: bool,
     },
-    /// Without one.
+    /// There is no answer of a target.
     Refused {
-        /// What became of the request.
+        /// The reason, and whether the request may have run.
         refusal: Refusal,
-        /// Whether the target itself has seen the request.
+        /// Whether the target has seen the request.
         arrived: bool,
     },
-    /// The target ended while it ran the request.
+    /// The target's process terminated while it ran the request.
     TargetEnded(Refusal),
 }
 
 #[derive(Debug)]
-enum Last<A> {
+enum Fallback<A> {
     Refused(Refusal),
     Answered(A),
 }
@@ -104,7 +107,7 @@
         Self {
             nodes: Vec::new(),
             arrivals: 0,
-            last: None,
+            fallback: None,
         }
     }
 }
@@ -112,12 +115,12 @@
 impl<A> Tries<A> {
     /// Returns whether one more node may be asked.
     pub fn may_ask(&self, request: &Request<'_>, now: Instant) -> bool {
-        self.nodes.len() < ASKED && (self.nodes.is_empty() || now < request.deadline)
+        self.nodes.len() < MAX_ASKED_NODES && (self.nodes.is_empty() || now < request.deadline)
     }
 
-    /// Returns whether the request may be sent to one more target, and takes what that
-    /// costs from the `allowance` of a fleet of `nodes`. What a node refused before its
-    /// target saw it costs nothing.
+    /// Returns whether the request may be sent to one more target, and takes the cost from
+    /// the `allowance` of a fleet of `nodes`. Until a target has seen the request, sending it
+    /// costs nothing.
     pub fn may_send(
         &self,
         request: &Request<'_>,
@@ -134,19 +137,19 @@
         if self.arrivals >= request.attempts {
             return false;
         }
-        let again = match &self.last {
-            Some(Last::Refused(refusal)) if refusal.outcome == Outcome::NotRun => Again::NotRun,
+        let again = match &self.fallback {
+            Some(Fallback::Refused(refusal)) if refusal.outcome == Outcome::NotRun => Again::NotRun,
             _ => Again::Repeated,
         };
         allowance.spend(request.service, again, nodes, now)
     }
 
-    /// Takes in how the try at the last node ended; returns what the caller is told, if
-    /// nothing more may be tried.
+    /// Records the result of the attempt at the last node. Returns the result for the caller
+    /// if there may be no further attempt.
     ///
     /// # Errors
     ///
-    /// The refusal that the caller is told.
+    /// The refusal that the caller gets.
     pub fn take(&mut self, kind: Kind, ended: Ended<A>) -> Option<Result<A, Refusal>> {
         match ended {
             Ended::Answered { answer, is_fault } => {
@@ -154,11 +157,11 @@
                 if !is_fault || kind == Kind::Once {
                     return Some(Ok(answer));
                 }
-                self.last = Some(Last::Answered(answer));
+                self.fallback = Some(Fallback::Answered(answer));
             }
-            // It may be why the target ended. Sent on by the node, one such request took
-            // three targets in 3 ms; by its caller it comes again soon enough, and by then
-            // all know.
+            // The request may have crashed the target, so the node doesn't retry it: retried
+            // by a node, one such request crashed three targets in 3 ms. Its caller retries
+            // soon enough, and by then all nodes have heard of the crash.
             Ended::TargetEnded(refusal) => {
                 self.arrivals += 1;
                 self.note(refusal);
@@ -179,58 +182,64 @@
         None
     }
 
-    /// Returns what the caller is told when nothing more is tried.
+    /// Returns the result for the caller when there are no further attempts.
     ///
     /// # Errors
     ///
-    /// The refusal that the caller is told.
+    /// The refusal that the caller gets.
     pub fn end(&mut self) -> Result<A, Refusal> {
-        match self.last.take() {
-            Some(Last::Answered(answer)) => Ok(answer),
-            Some(Last::Refused(refusal)) => Err(refusal),
-            None => Err(Refusal::not_run("no target can be had", NO_TARGET_AGAIN)),
+        match self.fallback.take() {
+            Some(Fallback::Answered(answer)) => Ok(answer),
+            Some(Fallback::Refused(refusal)) => Err(refusal),
+            None => Err(Refusal::not_run(
+                "no target can be had",
+                NO_TARGET_RETRY_AFTER,
+            )),
         }
     }
 
-    /// Returns what the request brings to the gate of the next node; `usual` is how long
-    /// such requests run.
+    /// Returns the queue entry of the request for the next node; `usual` is the usual run
+    /// time of such requests.
     ///
-    /// How long it may wait is a matter of its caller's time alone: it waits for the runs
-    /// of others, which only the gate knows. Bounded by its own runs, requests of a
-    /// millisecond found no place beside lookups of 63: none of 149 was served where two
-    /// in three lookups were (replayed load of `standins/tests/load.rs`).
+    /// Its maximum wait depends only on the time that its caller has left, not on its own run
+    /// time: it waits for the runs of others, which only the node with the queue knows. When
+    /// its own run time was the bound, requests of 1 ms got no place in the queue beside
+    /// lookups of 63 ms: none of 149 was served while two in three lookups were (replayed in
+    /// `standins/tests/load.rs`).
     pub fn arrival(&self, request: &Request<'_>, usual: Option<Duration>, now: Instant) -> Arrival {
-        let half = |until: Instant| until.saturating_duration_since(now) / WAITED;
+        let max_wait = |until: Instant| until.saturating_duration_since(now) / WAIT_DIVISOR;
         Arrival {
             priority: request.priority,
-            patience: half(request.due).max(half(request.deadline).min(LATE_WAIT)),
+            patience: max_wait(request.due).max(max_wait(request.deadline).min(MAX_LATE_WAIT)),
             due: request.due,
             usual,
         }
     }
 
-    /// Keeps the refusal that leaves most in doubt: "not run" is said only if it
-    /// holds for every try.
+    /// Stores `refusal` as the result for the caller, unless an answer is stored, or
+    /// `refusal` is "not run" and the stored one isn't. So the caller gets "not run" only if
+    /// that holds for every attempt.
     pub fn note(&mut self, refusal: Refusal) {
-        let keeps = match &self.last {
-            Some(Last::Answered(_)) => true,
-            Some(Last::Refused(held)) => {
+        let is_kept = match &self.fallback {
+            Some(Fallback::Answered(_)) => true,
+            Some(Fallback::Refused(held)) => {
                 held.outcome != Outcome::NotRun && refusal.outcome == Outcome::NotRun
             }
             None => false,
         };
-        if !keeps {
-            self.last = Some(Last::Refused(refusal));
+        if !is_kept {
+            self.fallback = Some(Fallback::Refused(refusal));
         }
     }
 }
 
-/// Returns what a request brings whose body is offered first: a silent node must not
-/// keep it for half of an objective of many seconds, since nothing has been sent.
+/// Returns `arrival` with a shorter maximum wait, for a request whose body is sent only once
+/// the node accepts it. Nothing has been sent yet, so a node that doesn't answer must not
+/// hold the request for half of an objective of many seconds.
 pub fn offered(arrival: Arrival) -> Arrival {
-    let run = arrival.usual.unwrap_or_default().max(OFFERED_RUN);
+    let run = arrival.usual.unwrap_or_default().max(MIN_OFFER_RUN);
     Arrival {
-        patience: arrival.patience.min(run * OFFERED_RUNS),
+        patience: arrival.patience.min(run * OFFER_WAIT_RUNS),
         ..arrival
     }
 }
