--- a/src/coordination/decision/line.rs
+++ b/src/coordination/decision/line.rs
@@ -1,74 +1,76 @@
-//! What one way of a host's link may carry of large bodies, and what is turned away.
+//! Admission of large bodies to one direction of a host's link.
 //!
-//! The load that it answers: uploads of 60 KB to ten hosts with links of 7 Mbit/s, at eight
-//! tenths of what the links carry and more, beside short calls to the same targets. A body
-//! that can't have passed in time behind those under way is turned away before its bytes go
-//! anywhere; one that is alone always passes, however thin the link.
+//! It is made for loads such as uploads of 60 KB to ten hosts with links of 7 Mbit/s, at
+//! eight tenths of the bandwidth and more, beside short calls to the same targets. A body
+//! that can't be transferred in time behind the pending ones is rejected before any of its
+//! bytes are sent. A body is always admitted if no other one is pending, however slow the
+//! link.
 
 use std::time::{Duration, Instant};
 
 use crate::coordination::decision::queue::Arrival;
 
-/// The part of the link that large bodies may take; the rest is for lookups, versions
-/// and heartbeats. Eight tenths, with every download begun, let more wait than it
-/// carried; shares other than these two were not measured (docs/POLICY.md).
-const SHARE: f64 = 0.9;
+/// The share of the bandwidth for large bodies; the rest is for lookups, versions and
+/// heartbeats. At eight tenths, with every download admitted, more bodies waited than the
+/// link transferred (docs/POLICY.md).
+const BODY_SHARE: f64 = 0.9;
 
-/// Returns how long the body of a request may take to come, so that its run still ends in
-/// time: of a late one as much as its run takes, lest the link fill with what nobody waits
-/// for any more.
+/// Returns how long the transfer of a request's body may take so that its run still ends in
+/// time. A late request gets as long as its usual run time: with more, the link would fill
+/// with bodies of requests whose callers have stopped waiting.
 pub fn spare(arrival: &Arrival, now: Instant) -> Duration {
     let run = arrival.usual.unwrap_or_default();
     arrival.due.saturating_duration_since(now + run).max(run)
 }
 
-/// One way of a link.
+/// One direction of a host's link.
 #[derive(Clone, Debug)]
 pub struct Line {
-    /// Bytes a second that large bodies may take; nothing if the link is not known, which
-    /// bounds nothing.
-    rate: Option<f64>,
-    /// Bytes of bodies that were counted in and have not passed.
-    pending: usize,
+    /// Bytes per second for large bodies; `None` if the bandwidth is unknown, which admits
+    /// every body.
+    bytes_per_s: Option<f64>,
+    /// Bytes of admitted bodies whose transfer has not ended.
+    pending_bytes: usize,
 }
 
 impl Line {
-    /// Returns one way of a link of `bandwidth` Mbit/s; 0 is a link that is not known.
+    /// Returns one direction of a link of `bandwidth` Mbit/s; 0 means that the bandwidth is
+    /// unknown.
     pub fn new(bandwidth: u32) -> Self {
-        let rate = f64::from(bandwidth) * 1_000_000.0 / 8.0 * SHARE;
+        let bytes_per_s = f64::from(bandwidth) * 1_000_000.0 / 8.0 * BODY_SHARE;
         Self {
-            rate: (bandwidth > 0).then_some(rate),
-            pending: 0,
+            bytes_per_s: (bandwidth > 0).then_some(bytes_per_s),
+            pending_bytes: 0,
         }
     }
 
-    /// Returns how long a body takes by itself.
+    /// Returns the transfer time of `bytes` if nothing else is pending.
     pub fn span(&self, bytes: usize) -> Duration {
-        let span = |rate| Duration::from_secs_f64(bytes as f64 / rate);
-        self.rate.map_or(Duration::ZERO, span)
+        let time = |bytes_per_s| Duration::from_secs_f64(bytes as f64 / bytes_per_s);
+        self.bytes_per_s.map_or(Duration::ZERO, time)
     }
 
-    /// Returns whether the link is known.
+    /// Returns whether the bandwidth of the link is known.
     pub fn is_known(&self) -> bool {
-        self.rate.is_some()
+        self.bytes_per_s.is_some()
     }
 
-    /// Counts in a body of `bytes` that must have passed within `spare`.
+    /// Admits a body of `bytes` if its transfer can end within `spare`.
     ///
     /// # Errors
     ///
-    /// How much longer than that it would take behind those under way.
+    /// The time by which its transfer behind the pending bodies would exceed `spare`.
     pub fn count_in(&mut self, bytes: usize, spare: Duration) -> Result<(), Duration> {
-        let takes = self.span(self.pending + bytes);
-        if self.pending > 0 && takes > spare {
-            return Err(takes - spare);
+        let time = self.span(self.pending_bytes + bytes);
+        if self.pending_bytes > 0 && time > spare {
+            return Err(time - spare);
         }
-        self.pending += bytes;
+        self.pending_bytes += bytes;
         Ok(())
     }
 
-    /// Notes that a body of `bytes` that was counted in has passed, or will not come.
+    /// Records that the transfer of an admitted body of `bytes` has ended, or will not happen.
     pub fn pass(&mut self, bytes: usize) {
-        self.pending = self.pending.saturating_sub(bytes);
+        self.pending_bytes = self.pending_bytes.saturating_sub(bytes);
     }
 }
