--- a/src/coordination/flow.rs
+++ b/src/coordination/flow.rs
@@ -1,12 +1,13 @@
-//! Large bodies on one way of a host's link, so that there is room for what is small.
+//! Flow control for large bodies on one direction of a host's link, so that small messages
+//! keep their share of the bandwidth.
 //!
-//! Out: a target that runs a dozen downloads at a time hands over a second's worth of a
-//! thin link in a moment. All of it queued in the system, the versions and heartbeats of
-//! this host waited behind it, and the acknowledgements of what came in too: on links
-//! of 15 Mbit/s nodes were seconds behind with a version. So large answers go one
-//! after the other, as fast as the link carries them; none is held once it has room.
+//! Outgoing: a target that runs a dozen downloads at a time can produce, in a moment, as much
+//! as a slow link transfers in a second. When all of it was queued in the operating system,
+//! versions and heartbeats of this host waited behind it, and so did the acknowledgements of
+//! incoming data: on links of 15 Mbit/s, nodes got a version seconds late. So large answers
+//! are sent one after the other at the rate of the link. None waits while the link has room.
 //!
-//! In: what the link can't carry in time is turned away before it is sent
+//! Incoming: a body that the link can't transfer in time is rejected before it is sent
 //! ([`line`](crate::coordination::decision::line)).
 
 use std::{
@@ -18,20 +19,20 @@
 
 use crate::coordination::decision::line::Line;
 
-/// How far ahead of the link an answer may be handed to the system: a few round trips,
-/// so that the link never waits, and short against the 0.25 s within which a connection
-/// must come about.
-const AHEAD: Duration = Duration::from_millis(50);
+/// How much earlier than the link is free a body may be handed to the operating system: a few
+/// round trips, so that the link never idles, and short compared with the connection timeout
+/// of 0.25 s.
+const MAX_AHEAD: Duration = Duration::from_millis(50);
 
-/// Large bodies that go one way over a host's link.
+/// The large bodies on one direction of a host's link.
 #[derive(Debug)]
 pub struct Flow {
     line: Arc<Mutex<Line>>,
-    /// When the link has carried all that was let out.
-    free: tokio::sync::Mutex<Option<Instant>>,
+    /// When the link will have transferred every body that [`Flow::enter`] let through.
+    free_at: tokio::sync::Mutex<Option<Instant>>,
 }
 
-/// A body that was counted in; ends when it has passed, or will not come.
+/// An admitted body. Drop it when its transfer has ended, or will not happen.
 #[derive(Debug)]
 pub struct Counted {
     line: Arc<Mutex<Line>>,
@@ -45,20 +46,20 @@
 }
 
 impl Flow {
-    /// Returns one way of a link of `bandwidth` Mbit/s; 0 is a link that is not known, which
-    /// bounds nothing.
+    /// Returns one direction of a link of `bandwidth` Mbit/s; 0 means that the bandwidth is
+    /// unknown, and every body is admitted at once.
     pub fn new(bandwidth: u32) -> Self {
         Self {
             line: Arc::new(Mutex::new(Line::new(bandwidth))),
-            free: tokio::sync::Mutex::default(),
+            free_at: tokio::sync::Mutex::default(),
         }
     }
 
-    /// Counts in a body of `bytes` that must have passed within `spare`.
+    /// Admits a body of `bytes` if its transfer can end within `spare`.
     ///
     /// # Errors
     ///
-    /// How much longer than that it would take behind those under way.
+    /// The time by which its transfer behind the pending bodies would exceed `spare`.
     pub fn count_in(&self, bytes: usize, spare: Duration) -> Result<Counted, Duration> {
         self.line.lock().count_in(bytes, spare)?;
         Ok(Counted {
@@ -67,25 +68,27 @@
         })
     }
 
-    /// Waits until the link has room for a body of `bytes`. Bodies go in the order in
-    /// which they came; one that is given up meanwhile takes none of the link.
+    /// Waits until the link has room for a body of `bytes`. Bodies are let through in the
+    /// order of the calls. If the future is dropped while it waits, its body takes no
+    /// bandwidth.
     pub async fn enter(&self, bytes: usize) {
-        let span = {
+        let transfer_time = {
             let line = self.line.lock();
             if !line.is_known() {
                 return;
             }
             line.span(bytes)
         };
-        // Held while the first in the row waits. A place that was counted from the start
-        // would outlast its caller, and a link once overloaded would stay so.
-        let mut free = self.free.lock().await;
+        // The lock is held while the first body in the queue waits, and the time is added
+        // only after the wait. Were it added before, it would still count after the caller
+        // gave up, and an overloaded link would stay overloaded.
+        let mut free_at = self.free_at.lock().await;
         let now = Instant::now();
-        let begins = free.map_or(now, |free| free.max(now));
-        let wait = begins.saturating_duration_since(now + AHEAD);
+        let begins = free_at.map_or(now, |free_at| free_at.max(now));
+        let wait = begins.saturating_duration_since(now + MAX_AHEAD);
         if !wait.is_zero() {
             tokio::time::sleep(wait).await;
         }
-        *free = Some(begins + span);
+        *free_at = Some(begins + transfer_time);
     }
 }
