--- a/src/coordination/probe.rs
+++ b/src/coordination/probe.rs
@@ -1,4 +1,4 @@
-//! Asks nodes that can't be reached whether they are back, beside the requests.
+//! Probes unreachable nodes in the background, apart from the requests.
 
 use std::{
     sync::Arc,
@@ -18,28 +18,28 @@
     state::member::Member,
 };
 
-/// The shortest time between two looks at what is due. The pauses are 0.2 s and
-/// more; what falls due within it is asked in one go.
-const LOOK: Duration = Duration::from_millis(50);
+/// The shortest time between two rounds of probes. Each node is probed at intervals of 0.2 s
+/// and more; probes that become due within one round are sent together.
+const MIN_ROUND: Duration = Duration::from_millis(50);
 
-/// Asks whoever is due; never returns.
+/// Sends each probe when it is due; never returns.
 pub async fn keep(host: Arc<Host>, ask: Ask) {
     loop {
         let next = host.balance.lock().reach.next();
         match next {
-            // Whatever is under way wakes this duty when it ends.
+            // The end of a probe that is under way wakes this task.
             None => host.lost.notified().await,
             Some(next) => tokio::select! {
                 () = tokio::time::sleep_until(next.into()) => {}
                 () = host.lost.notified() => {}
             },
         }
-        ask_due(&host, &ask);
-        tokio::time::sleep(LOOK).await;
+        send_due(&host, &ask);
+        tokio::time::sleep(MIN_ROUND).await;
     }
 }
 
-fn ask_due(host: &Arc<Host>, ask: &Ask) {
+fn send_due(host: &Arc<Host>, ask: &Ask) {
     let due = {
         let members = host.members.read();
         let mut balance = host.balance.lock();
@@ -48,19 +48,20 @@
     for member in due {
         let (host, ask) = (host.clone(), ask.clone());
         tokio::spawn(async move {
-            ask_one(&host, &ask, &member).await;
+            probe(&host, &ask, &member).await;
             host.lost.notify_one();
         });
     }
 }
 
-async fn ask_one(host: &Host, ask: &Ask, member: &Member) {
+/// Asks one node for its state and records whether it answered.
+async fn probe(host: &Host, ask: &Ask, member: &Member) {
     let answer = ask(member.peers, Question::Seen).await;
     let now = Instant::now();
     let loss = match &answer {
         Ok(_) => {
-            let was_lost = host.balance.lock().reach.hear(member);
-            if was_lost {
+            let was_unreachable = host.balance.lock().reach.hear(member);
+            if was_unreachable {
                 note!(host.journal, Event::Returned, target = member.node);
             }
             None
@@ -71,7 +72,7 @@
     if let Some(loss) = loss {
         host.balance.lock().reach.lose(member, loss, now);
     }
-    // One that can't be read says nothing of versions; that it is there counts.
+    // An answer that can't be decoded has no versions, but shows that the node is reachable.
     let seen = answer.ok();
     if let Some(seen) = seen.and_then(|seen| rmp_serde::from_slice::<Seen>(&seen).ok()) {
         host.hear_of(seen.version, seen.members, member.peers);
