--- a/src/coordination/presence.rs
+++ b/src/coordination/presence.rs
@@ -1,5 +1,5 @@
-//! Writes what this node says of itself to the store, and knows how far that
-//! has come.
+//! Keeps this node's member record in the store up to date, and publishes which targets the
+//! stored record has.
 
 use std::{
     sync::Arc,
@@ -16,22 +16,22 @@
     state::member::{Member, Status, Target},
 };
 
-/// How often the target here is looked at for silence: a fraction of a
-/// heartbeat's 1.5 s.
-const LOOK: Duration = Duration::from_millis(500);
+/// How often the heartbeats of the target here are checked: a fraction of their period of
+/// 1.5 s.
+const CHECK_PERIOD: Duration = Duration::from_millis(500);
 
-/// How long a node that the store does not know waits for its target's first
-/// heartbeat, which comes within 1.5 s.
-const FIRST: Duration = Duration::from_millis(2000);
+/// How long a node without a record in the store waits for its target's first heartbeat,
+/// which comes within 1.5 s.
+const FIRST_HEARTBEAT_WAIT: Duration = Duration::from_millis(2000);
 
-/// What has been written of this node.
+/// The part of this node's record in the store that targets ask about.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Written {
-    /// Its targets as the store has them; nothing if it knows no such node.
+    /// The targets in the stored record; `None` if the store has no record of this node.
     pub targets: Option<Vec<Target>>,
 }
 
-/// Keeps the store's record of this node as it should be; never returns.
+/// Writes this node's record to the store whenever it changes; never returns.
 pub async fn keep_written(host: Arc<Host>, store: Store, written: watch::Sender<Written>) {
     host.until_members_known().await;
     let recorded = host.members.read().get(&host.settings.node).cloned();
@@ -42,29 +42,33 @@
     review::recall(&host);
     let mut member = recorded.as_deref().cloned();
     if member.is_none() {
-        // One record with the target, rather than one without and one with it.
-        drop(tokio::time::timeout(FIRST, host.changed.notified()).await);
+        // Saves a record: the first one already has the target.
+        drop(tokio::time::timeout(FIRST_HEARTBEAT_WAIT, host.changed.notified()).await);
     }
     let mut failures = 0;
     loop {
-        if let Some(later) = later(&host, member.as_ref()) {
+        if let Some(later) = later_record(&host, member.as_ref()) {
             member = Some(later);
         }
-        let wanted = wanted(&host, member.as_ref());
+        let wanted = wanted_record(&host, member.as_ref());
         let is_written = member.as_ref() == Some(&wanted);
         if is_written {
             written.send_replace(Written {
                 targets: Some(wanted.targets.clone()),
             });
         }
-        let replaced = if is_written { replaced(&host) } else { None };
+        let replaced = if is_written {
+            replaced_member(&host)
+        } else {
+            None
+        };
         if is_written && replaced.is_none() {
-            wait(&host, member.as_ref()).await;
+            until_changed(&host, member.as_ref()).await;
             continue;
         }
         let is_own = replaced.is_none();
         let wanted = replaced.unwrap_or(wanted);
-        let record = rmp_serde::to_vec_named(&wanted).expect("plain data always encodes");
+        let record = rmp_serde::to_vec_named(&wanted).expect("a member record always encodes");
         let key = wanted.node.to_string();
         let since = Instant::now();
         let put = (store.put)(key, record.into()).await;
@@ -96,20 +100,20 @@
     }
 }
 
-/// Returns the record of this node that others know, where it is later than the one
-/// `held`: another node took this one for gone.
-fn later(host: &Host, held: Option<&Member>) -> Option<Member> {
+/// Returns the record of this node in the member table if it is later than `held`: another
+/// node has recorded this one as gone.
+fn later_record(host: &Host, held: Option<&Member>) -> Option<Member> {
     let members = host.members.read();
     let known = members.get(&host.settings.node)?;
     let is_later = held.is_some_and(|held| held.stamp() < known.stamp());
     is_later.then(|| known.as_ref().clone())
 }
 
-/// Returns the record that ends a member whose address this node has now: its host was
-/// replaced by this one, under another name, and nobody else will ever say that it is
-/// gone. Without it every node asks it in vain, once in each life, and the members known
-/// grow with every host that is replaced.
-fn replaced(host: &Host) -> Option<Member> {
+/// Returns the record that marks a member as gone whose address this node has now. The
+/// member's host was replaced by this one under another name, and no other node will ever
+/// record that. Without such a record, every node asks the old member in vain, once in each
+/// incarnation, and the member table grows with each replaced host.
+fn replaced_member(host: &Host) -> Option<Member> {
     let inbound = host.settings.advertised().inbound;
     let members = host.members.read();
     let mut others = members
@@ -119,20 +123,19 @@
     Some(Member {
         status: Status::Gone,
         sequence: replaced.sequence + 1,
-        // What its target drained stays known, should the name come back.
+        // Keeps its targets and their drain state, in case a node of that name returns.
         ..replaced.as_ref().clone()
     })
 }
 
-/// Returns what is to be written: the record held, or the next one if something
-/// differs from it.
-fn wanted(host: &Host, held: Option<&Member>) -> Member {
+/// Returns the record to be written: `held` if it is up to date, else its successor.
+fn wanted_record(host: &Host, held: Option<&Member>) -> Member {
     let settings = &host.settings;
     let advertised = settings.advertised();
     let fresh = Member {
         node: settings.node.clone(),
-        // The store's order decides, so no clock is asked; one life goes on
-        // counting where the last one ended.
+        // The order of records in the store decides, so no clock is needed. An incarnation
+        // continues the sequence numbers of the previous one.
         incarnation: held.map_or(Incarnation(1), |held| held.incarnation),
         sequence: held.map_or(1, |held| held.sequence),
         status: Status::Alive,
@@ -153,20 +156,22 @@
     }
 }
 
-async fn wait(host: &Host, held: Option<&Member>) {
+/// Waits until this node's record may have to change: the node reported a change, or the
+/// member table has a record later than `held`.
+async fn until_changed(host: &Host, held: Option<&Member>) {
     loop {
-        // A change that nobody announced is seen at the next look.
-        if tokio::time::timeout(LOOK, host.changed.notified())
+        // A change without a notification is found at the next check.
+        if tokio::time::timeout(CHECK_PERIOD, host.changed.notified())
             .await
             .is_ok()
         {
             return;
         }
-        if later(host, held).is_some() {
+        if later_record(host, held).is_some() {
             return;
         }
-        let fell_silent = host.local.lock().fell_silent(Instant::now());
-        if fell_silent {
+        let is_overdue = host.local.lock().fell_silent(Instant::now());
+        if is_overdue {
             note!(host.journal, Event::TargetChanged, reason = "silent");
             host.set_gate();
         }
