--- a/src/coordination/watch.rs
+++ b/src/coordination/watch.rs
@@ -1,13 +1,14 @@
-//! Who reads the store for its failure domain, and who notices when that ends.
+//! Election of the node that reads the platform's store for its failure domain, and the
+//! checks that replace it when it fails.
 //!
-//! The nodes of a failure domain stand in a row, by a hash of their names. The
-//! first one reads the store for all. Each other node checks the one before it
-//! once a second; when that one is silent it is left out of the row and those
-//! before it are checked, twice as many at a time with each round, so the row
-//! closes up whoever dies and however many. The first ones check each other across failure
-//! domains. So each node is checked by one or two others however large the fleet
-//! is, and every check also compares how far both are: whatever was missed is
-//! found within a second or two.
+//! The nodes of a failure domain are ranked by bandwidth, then by a hash of their names. The
+//! first one is the reader: it reads the store for all. Each other node checks its predecessor
+//! about once a second. An unreachable predecessor is left out of the ranking, and those
+//! before it are checked, twice as many at a time with each round. So the ranking closes its
+//! gaps whichever nodes die and however many. The first node of each failure domain checks
+//! nodes of other domains. So one or two nodes check each node, however large the fleet is.
+//! Each check also compares the versions and offsets of both nodes, so whatever a node has
+//! missed is found within a second or two.
 
 use std::{
     sync::Arc,
@@ -29,61 +30,63 @@
     state::member::Member,
 };
 
-/// The pause between checks. With the time to ask and to read it keeps the death
-/// of a reader well within the 2 s in which a version must be in force.
-const CHECK: Duration = Duration::from_millis(700);
+/// The pause between checks. With the time to ask the predecessor and to read the store, the
+/// failure of a reader costs well under the 2 s in which a version must be in force.
+const CHECK_PAUSE: Duration = Duration::from_millis(700);
 
-/// How long a silent node is left out of the row.
-const SILENT: Duration = Duration::from_secs(6);
+/// How long an unreachable node is left out of the ranking.
+const SKIP_TIME: Duration = Duration::from_secs(6);
 
-/// Nodes that are asked at a time once those nearest in the row are silent. Thirty
-/// that are cut off are passed over in five rounds of 0.25 s.
-const AT_ONCE: usize = 16;
+/// Predecessors that are asked at a time at most, once the nearest ones are unreachable.
+/// Thirty partitioned nodes are passed in five rounds of 0.25 s.
+const MAX_ASKED_NODES: usize = 16;
 
-/// Nodes in a row that read the store when those before them can't. A store that
-/// turns away a third of all nodes turns all of them away once in 81; one that is
-/// down altogether is asked by so many of each failure domain, and not by all.
-const STAND_INS: u8 = 4;
+/// Nodes of a failure domain that try to read the store, each because those ranked before it
+/// can't. If the store rejects a third of all nodes, it rejects all four once in 81 cases. If
+/// the store is down, only four nodes of each failure domain ask it, not all of them.
+const MAX_READERS: u8 = 4;
 
-/// The job by which nodes are ranked.
+/// The job for which nodes are ranked.
 const JOB: &str = "reader";
 
-/// Checks the node before this one in the row, and takes the first one's place
-/// where it must; never returns.
+/// Checks the predecessors of this node in the ranking periodically, and makes this node read
+/// the store when they can't; never returns.
 pub async fn keep(host: Arc<Host>, ask: Ask) {
     host.until_settled().await;
     loop {
         check(&host, &ask).await;
-        tokio::time::sleep(CHECK.mul_f64(0.9 + 0.2 * fastrand::f64())).await;
+        tokio::time::sleep(CHECK_PAUSE.mul_f64(0.9 + 0.2 * fastrand::f64())).await;
     }
 }
 
+/// Finds the nearest predecessor that answers, and sets whether this node reads the store.
 async fn check(host: &Host, ask: &Ask) {
-    let mut at_once = 1;
+    let mut batch_size = 1;
     loop {
-        let mut before = before(host);
-        if before.is_empty() {
+        let mut predecessors = before(host);
+        if predecessors.is_empty() {
             host.set_reading(true, 0);
-            if let Some(other) = elsewhere(host) {
+            if let Some(other) = other_domain_member(host) {
                 compare(host, ask, &other).await;
             }
             return;
         }
-        before.truncate(at_once);
-        let asked = before.iter().map(|member| compare(host, ask, member));
-        let nearest = join_all(asked).await.into_iter().flatten().next();
+        predecessors.truncate(batch_size);
+        let answers = predecessors.iter().map(|member| compare(host, ask, member));
+        let nearest = join_all(answers).await.into_iter().flatten().next();
         if let Some(seen) = nearest {
-            // One that can't read is stood in for, and stays what it is.
-            host.set_reading((1..STAND_INS).contains(&seen.blind), seen.blind);
+            // If the predecessor is a reader that can't read the store, this node reads, too.
+            host.set_reading((1..MAX_READERS).contains(&seen.blind), seen.blind);
             return;
         }
-        // A dead herd, or a cut around this node: one after the other its whole
-        // failure domain would take longer to pass over than it stays left out.
-        at_once = (at_once * 2).min(AT_ONCE);
+        // Many nodes are dead, or this node is partitioned. Asked one by one, the nodes of its
+        // failure domain would take longer than the time for which each is left out.
+        batch_size = (batch_size * 2).min(MAX_ASKED_NODES);
     }
 }
 
-/// Asks a member how far it is; notes if it is silent.
+/// Asks a member for its versions and offsets, and compares them with this node's. A member
+/// that doesn't answer is left out of the ranking for a while.
 async fn compare(host: &Host, ask: &Ask, member: &Member) -> Option<Seen> {
     let answer = ask(member.peers, Question::Seen).await;
     let seen = answer
@@ -95,7 +98,7 @@
             Some(seen)
         }
         None => {
-            host.note_silent(&member.node, Instant::now() + SILENT);
+            host.note_silent(&member.node, Instant::now() + SKIP_TIME);
             note!(
                 host.journal,
                 Event::MemberChanged,
@@ -107,24 +110,23 @@
     }
 }
 
-/// Returns the nodes before this one in the row of its failure domain, the nearest
+/// Returns the nodes before this one in the ranking of its failure domain, the nearest
 /// first.
 pub fn before(host: &Host) -> Vec<Arc<Member>> {
     let settings = &host.settings;
     let members = host.members.read();
     let now = Instant::now();
-    let in_row = |member: &Member| {
+    let is_ranked = |member: &Member| {
         member.domain == settings.domain
             && member.is_present()
             && !host.is_silent(&member.node, now)
     };
-    let row = members.iter().filter(|member| in_row(member));
-    rank::before(row, JOB, &settings.node, settings.bandwidth())
+    let ranked = members.iter().filter(|member| is_ranked(member));
+    rank::before(ranked, JOB, &settings.node, settings.bandwidth())
 }
 
-/// Returns a node of another failure domain, by chance the first of its row or
-/// any other.
-fn elsewhere(host: &Host) -> Option<Arc<Member>> {
+/// Returns a random node of the other failure domains, whatever its rank.
+fn other_domain_member(host: &Host) -> Option<Arc<Member>> {
     let settings = &host.settings;
     let members = host.members.read();
     let now = Instant::now();
@@ -139,5 +141,6 @@
         .cloned()
 }
 
-/// Nodes that did not answer, until when they are left out.
+/// The nodes that did not answer, each with the time until which it is left out of the
+/// ranking.
 pub type Silent = std::collections::HashMap<Node, Instant>;
