--- a/src/coordination/spread.rs
+++ b/src/coordination/spread.rs
@@ -1,9 +1,10 @@
-//! Tells the nodes of a failure domain what one of them read from the store.
+//! Distributes the records that one node read from the store to the other nodes of its
+//! failure domain, along a tree.
 //!
-//! The reader splits its list of nodes among a few children, each child splits
-//! its part again: nobody sends more than a few copies, which counts where a
-//! host has a thin link. A child that does not answer passes its part to the
-//! next in it. Whoever is missed learns of it by the next check of another node
+//! The reader splits its list of nodes among a few children, and each child splits its part
+//! again. So no node sends more than a few copies, which matters on hosts with slow links. If
+//! a child does not answer, the next node of its part takes its place. A node that is missed
+//! gets the records after the next check between it and another node
 //! ([`watch`](crate::coordination::watch)).
 
 use std::{net::SocketAddr, sync::Arc};
@@ -21,12 +22,11 @@
     protocol::news::News,
 };
 
-/// Children of a node in the tree. What a version changes has a few KB; a whole
-/// one of 650 routes has 80 KB, which a link of 10 Mbit/s carries three times in
-/// 0.2 s.
+/// Children of a node in the tree. The changes of a version take a few KB. A complete version
+/// of 650 routes takes 80 KB; a link of 10 Mbit/s transfers three copies of it in 0.2 s.
 const FANOUT: usize = 3;
 
-/// Tells `news` to the other nodes of this failure domain.
+/// Sends `news` to the other nodes of this failure domain.
 pub async fn to_domain(host: Arc<Host>, ask: Ask, mut news: News) {
     news.relay = {
         let members = host.members.read();
@@ -49,28 +49,30 @@
     );
 }
 
-/// Tells `news` to the nodes that it lists; returns how many heads of parts did
-/// not answer.
+/// Sends `news` to the nodes in its `relay` list, each child passing it on to its part.
+/// Returns how many nodes did not answer when they were asked to be a child.
 pub fn relay(ask: Ask, news: News) -> BoxFuture<'static, usize> {
     async move {
         let parts = scatter::split(&news.relay, FANOUT);
-        let told = parts
+        let branches = parts
             .into_iter()
-            .map(|part| branch(ask.clone(), news.clone(), part));
-        join_all(told).await.into_iter().sum()
+            .map(|part| send_branch(ask.clone(), news.clone(), part));
+        join_all(branches).await.into_iter().sum()
     }
     .boxed()
 }
 
-async fn branch(ask: Ask, news: News, mut part: Vec<SocketAddr>) -> usize {
+/// Sends `news` to the first node of `part` that answers, for it to pass on to the nodes after
+/// it. Returns how many nodes did not answer.
+async fn send_branch(ask: Ask, news: News, mut part: Vec<SocketAddr>) -> usize {
     let mut missed = 0;
     while !part.is_empty() {
-        let head = part.remove(0);
+        let child = part.remove(0);
         let news = News {
             relay: part.clone(),
             ..news.clone()
         };
-        if ask(head, Question::Take(news)).await.is_ok() {
+        if ask(child, Question::Take(news)).await.is_ok() {
             return missed;
         }
         missed += 1;
