--- a/standins/tests/load.rs
+++ b/standins/tests/load.rs
@@ -1,5 +1,5 @@
-//! The worst loads that were found, replayed on the decisions: each case asserts what
-//! its callers get, and that it is the same each time.
+//! Replays of the worst loads that were found. Each test asserts which results the callers
+//! get, or that the same load and seed give the same figures.
 
 use std::{ops::Range, time::Duration};
 
@@ -8,7 +8,7 @@
     self, Calls, Crossing, Experiment, Figures, Harm, Kind, Load, Service, Trouble,
 };
 
-/// Names each case: a test that replays a load.
+/// Defines one test for each named case.
 macro_rules! cases {
     ($($name:ident => $body:block)*) => {
         $(#[test] fn $name() $body)*
@@ -17,16 +17,16 @@
 
 const SEED: u64 = 7;
 
-/// Seeds of loads that are compared; twenty gave the same verdicts.
+/// Seeds with which each compared load is replayed. Twenty seeds gave the same results.
 const SEEDS: u64 = 3;
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// Lookups whose runs make calls, and requests that run once at the callee: many senders,
-/// each of which seldom meets the same target. `load` is over what half of all slots
-/// carry.
+/// Lookups whose runs call another service, and requests to that service which may run only
+/// once. There are many senders, and each one seldom sends to the same target twice. `load` is
+/// relative to the load that half of all slots can run.
 fn many_senders(load: f64) -> Load {
     let speeds = vec![0.5, 1.0, 1.0, 1.5];
     Load {
@@ -89,8 +89,8 @@
 }
 
 /// Uploads of 60 KB to ten targets behind links of 7 Mbit/s, and calls to the same targets
-/// amid the runs of another service, without which those fail. At a `load` of 1 the uploads
-/// take eight tenths of the links, and runs less than six tenths of the slots.
+/// made by runs of another service, which fail if their calls fail. At a `load` of 1, the
+/// uploads use eight tenths of the bandwidth, and the runs less than six tenths of the slots.
 fn uploads_beside_calls(load: f64, crossing: Crossing) -> Load {
     let journal = Service {
         targets: 10,
@@ -150,8 +150,8 @@
     }
 }
 
-/// Lookups of `load` times what a service carries, and a few short requests of the first
-/// rank beside them.
+/// Lookups of `load` times the capacity of a service, beside a few short requests of the
+/// highest priority.
 fn short_beside_long(load: f64) -> Load {
     let lookups = Kind {
         per_s: 600.0 * load,
@@ -181,30 +181,30 @@
     }
 }
 
-/// Kinds of any rank, run, objective and time left at one service, which together ask for
-/// more than it carries.
-fn any_kinds(rng: &mut fastrand::Rng) -> Load {
+/// Kinds of requests with random priority, run time, objective and deadline at one service,
+/// which together exceed its capacity.
+fn random_kinds(rng: &mut fastrand::Rng) -> Load {
     let service = Service {
         targets: rng.usize(2..8),
         slots: rng.u32(2..16),
         ..Service::default()
     };
-    let room = service.targets as f64 * f64::from(service.slots);
-    let over = 1.3 + 1.7 * rng.f64();
+    let slots = service.targets as f64 * f64::from(service.slots);
+    let overload = 1.3 + 1.7 * rng.f64();
     let count = rng.usize(2..5);
     let kinds = (0..count).map(|_| {
-        // From 1 to 400 ms, and an objective of half the run to thirty runs.
+        // Run times of 1 to 400 ms, with objectives of half a run time to thirty run times.
         let work = (400f64).powf(rng.f64());
         let objective = work * (0.5 * 60f64.powf(rng.f64())) + 2.0;
         let deadline = objective * (1.0 + 4.0 * rng.f64()) + 3.0 * work;
-        let part = over / count as f64;
+        let share = overload / count as f64;
         Kind {
-            per_s: (room * part * 1_000.0 / work).min(1_500.0),
+            per_s: (slots * share * 1_000.0 / work).min(1_500.0),
             priority: rng.u8(0..3),
             work: Duration::from_secs_f64(work / 1_000.0),
             objective: Duration::from_secs_f64(objective / 1_000.0),
             deadline: Duration::from_secs_f64(deadline / 1_000.0),
-            // Callers that come back would add their own persistence to their share.
+            // With retries, the served share would also depend on how often callers retry.
             retries: 0,
             ..Kind::default()
         }
@@ -218,10 +218,10 @@
     }
 }
 
-/// Lookups at one service whose runs call another, which runs orders of its own besides. Each
-/// sheds a part of what it gets for a while: two of six targets of the first, and all of the
-/// second.
-fn calls_between_two_that_shed(first: Range<u64>, second: Range<u64>) -> Load {
+/// Lookups at one service whose runs call a second one, which runs orders of its own besides.
+/// Two of six targets of the first service shed requests during `first`, and all targets of the
+/// second one during `second`, both in milliseconds from the start.
+fn calls_between_shedding_services(first: Range<u64>, second: Range<u64>) -> Load {
     let catalogue = Service {
         targets: 6,
         slots: 18,
@@ -245,7 +245,7 @@
         }),
         ..Kind::default()
     };
-    let placed = Kind {
+    let placed_orders = Kind {
         service: 1,
         per_s: 250.0,
         kind: routing::Kind::Once,
@@ -273,15 +273,15 @@
     };
     Load {
         services: vec![catalogue, orders],
-        kinds: vec![lookups, placed, calls],
+        kinds: vec![lookups, placed_orders, calls],
         troubles: vec![sheds(0, 0.33, first), sheds(1, 1.0, second)],
         length: ms(22_000),
         ..Load::default()
     }
 }
 
-/// Returns the part of a kind's requests that were answered, in time or late.
-fn served(count: &load::Count) -> f64 {
+/// Returns the share of a kind's requests that were answered, in time or late.
+fn served_share(count: &load::Count) -> f64 {
     count.share(count.in_time + count.late)
 }
 
@@ -290,7 +290,7 @@
 }
 
 cases! {
-    replay_gives_the_same_figures_to_the_last_digit => {
+    replay_is_deterministic => {
         let load = Load { length: ms(2_000), warm_up: ms(500), ..many_senders(0.5) };
         assert_eq!(replay(&load), replay(&load));
         assert_ne!(replay(&load), load::run(&load, SEED + 1));
@@ -303,35 +303,36 @@
         }
     }
 
-    quiet_load_is_served => {
+    load_of_half_the_slots_is_served => {
         let figures = replay(&many_senders(1.0));
         assert!(figures.worth() > 0.96, "{}", figures.worth());
         assert!(figures.kinds.iter().all(|kind| kind.refused == 0));
     }
 
-    calls_find_room_while_uploads_fill_thin_links => {
-        // At ten targets behind links of 7 Mbit/s bodies of 60 KB held 45 to 54 of 90 slots
-        // as they waited for the link and crossed it, where their runs took 22. In a second
-        // of 116 uploads 1,100 calls were turned away, and a quarter of the runs that made
-        // them failed. The gate and the link said:
+    calls_are_admitted_while_uploads_fill_slow_links => {
+        // At ten targets behind links of 7 Mbit/s, bodies of 60 KB held 45 to 54 of 90 slots
+        // while they waited for the link and were transferred; the runs alone needed 22 slots.
+        // In a second with 116 uploads, 1,100 calls were rejected, and a quarter of the runs
+        // that made them failed. The log had:
         //
         //   BodyTaken bytes 60211 waited 348 took 464
         //   Shed load 9,0,9 patience 75 due 121 usual 39 turn 19 "target is full"
         //
-        // At 1.4 times the usual load the slots have room for all calls and the links carry
-        // four in five uploads; at 2.5 two in five, and the slots nine in ten calls.
+        // At 1.4 times the usual load, the slots have room for all calls, and the links for
+        // four in five uploads. At 2.5 times, the slots have room for nine in ten calls, and
+        // the links for two in five uploads.
         for seed in 0..SEEDS {
-            for (load, uploads) in [(1.4, 0.7), (2.5, 0.35)] {
+            for (load, min_uploads) in [(1.4, 0.7), (2.5, 0.35)] {
                 let figures = load::run(&uploads_beside_calls(load, Crossing::First), seed);
                 let [topup, upload, call] = &figures.kinds[..] else { panic!("three kinds") };
                 assert!(topup.share(topup.failed) < 0.05, "{load}, seed {seed}: {topup:?}");
-                assert!(served(call) > 0.9, "{load}, seed {seed}: {call:?}");
-                assert!(served(upload) > uploads, "{load}, seed {seed}: {upload:?}");
+                assert!(served_share(call) > 0.9, "{load}, seed {seed}: {call:?}");
+                assert!(served_share(upload) > min_uploads, "{load}, seed {seed}: {upload:?}");
             }
         }
     }
 
-    bodies_that_cross_before_a_slot_are_worth_more_than_in_it => {
+    transfer_before_a_slot_beats_transfer_in_a_slot => {
         for load in [1.0, 1.4, 2.5] {
             let gains = (0..SEEDS).map(|seed| {
                 let worth = |crossing| load::run(&uploads_beside_calls(load, crossing), seed).worth();
@@ -339,55 +340,56 @@
             });
             let gains: Vec<f64> = gains.collect();
             let mean = gains.iter().sum::<f64>() / SEEDS as f64;
-            // Nothing to gain while all fits, more than noise once slots run out.
-            let least = if load > 1.0 { 0.03 } else { -0.03 };
-            assert!(mean > least, "{load}: {mean} of {gains:?}");
+            // There is nothing to gain while all requests fit. Once slots run out, the gain
+            // must exceed the noise.
+            let min_mean = if load > 1.0 { 0.03 } else { -0.03 };
+            assert!(mean > min_mean, "load {load}: mean gain {mean} of {gains:?}");
         }
     }
 
-    overload_is_turned_away_and_the_rest_ends_in_time => {
+    overload_is_rejected_and_most_answers_are_in_time => {
         let figures = replay(&many_senders(2.4));
         let lookups = &figures.kinds[0];
         assert!(lookups.refused > 0);
         assert!(lookups.in_time > 2 * lookups.late, "{lookups:?}");
     }
 
-    short_requests_of_the_first_rank_are_served_while_slots_are_full => {
-        // A service had lost targets until three of seven carried its lookups of 63 ms, so
-        // its slots were always taken. Then routes were added to it, of the first rank, whose
-        // few requests run for about a millisecond and may take a second. Of 56 of them 12
-        // were served, of the lookups that go behind them 94 in 100. The gate said:
+    short_high_priority_requests_are_served_while_slots_are_full => {
+        // A service had lost four of its seven targets, so its lookups of 63 ms kept all slots
+        // taken. Then it got routes of the highest priority with few requests, which run for
+        // about 1 ms and may take 1 s. Of these, 12 of 56 were served, while 94 in 100 lookups of
+        // lower priority were. The log had:
         //
         //   Shed priority 0 load 13,12,13 patience 0 due 998 usual 0 turn 5 "target is full"
         //
-        // A request might wait for twice the time that it runs itself; but it waits for the
-        // runs of others, and a slot was free only after 5 ms. So the longer runs took all
-        // slots, and the shorter ones no place in the queue however high their rank.
+        // The maximum wait of a request was twice its own run time. But it waits for the runs
+        // of others, and a slot got free only every 5 ms. So the long requests took all slots,
+        // and the short ones got no place in the queue whatever their priority.
         for scale in [1.5, 2.5] {
             let load = short_beside_long(scale);
             let figures = replay(&load);
             let [lookups, short] = &figures.kinds[..] else { unreachable!("two kinds") };
-            assert!(served(lookups) < 0.9, "slots are full: {lookups:?}");
-            assert!(served(short) > 0.95, "{short:?} beside {lookups:?}");
+            assert!(served_share(lookups) < 0.9, "slots are not full: {lookups:?}");
+            assert!(served_share(short) > 0.95, "{short:?} beside {lookups:?}");
         }
     }
 
-    no_rank_is_served_less_than_one_behind_it => {
+    no_priority_is_served_less_than_a_lower_one => {
         let mut rng = fastrand::Rng::with_seed(SEED);
         let mut faults = Vec::new();
         for round in 0..60 {
-            let load = any_kinds(&mut rng);
+            let load = random_kinds(&mut rng);
             let figures = load::run(&load, round);
-            // A caller with less time than a run may leave before any slot is free.
-            let longest = load.kinds.iter().map(|kind| kind.work).max().unwrap();
-            for (one, of) in load.kinds.iter().zip(&figures.kinds) {
-                for (other, behind) in load.kinds.iter().zip(&figures.kinds) {
-                    let is_before = one.priority < other.priority && one.deadline > longest;
-                    if is_before && of.asked > 50 && served(of) < served(behind) - 0.1 {
+            // A caller whose deadline is shorter than a run may give up before any slot is free.
+            let longest_run = load.kinds.iter().map(|kind| kind.work).max().unwrap();
+            for (high, high_count) in load.kinds.iter().zip(&figures.kinds) {
+                for (low, low_count) in load.kinds.iter().zip(&figures.kinds) {
+                    let is_higher = high.priority < low.priority && high.deadline > longest_run;
+                    if is_higher && high_count.asked > 50 && served_share(high_count) < served_share(low_count) - 0.1 {
                         faults.push(format!(
-                            "{round}: rank {} run {:?} due {:?} of {:?} served {:.2}; rank {} run {:?} due {:?} served {:.2}; slots {}",
-                            one.priority, one.work, one.objective, one.deadline, served(of),
-                            other.priority, other.work, other.objective, served(behind), load.services[0].slots,
+                            "round {round}: priority {} run {:?} objective {:?} deadline {:?} served {:.2}; priority {} run {:?} objective {:?} served {:.2}; slots {}",
+                            high.priority, high.work, high.objective, high.deadline, served_share(high_count),
+                            low.priority, low.work, low.objective, served_share(low_count), load.services[0].slots,
                         ));
                     }
                 }
@@ -396,7 +398,7 @@
         assert!(faults.is_empty(), "{} faults\n{}", faults.len(), faults.join("\n"));
     }
 
-    bad_file_is_refused_by_key_and_line => {
+    error_of_a_bad_file_names_key_or_line => {
         let good = include_str!("../examples/loads/many-senders.jsonc");
         let read = |text: &str| Experiment::from_document(&Document::parse("loads", text).unwrap());
         assert_eq!(read(good).unwrap().variants.len(), 6);
@@ -411,32 +413,32 @@
         }
     }
 
-    calls_of_repeats_stay_within_the_allowance_of_the_service_they_call => {
-        // The targets of a service that is called got 2,804 further arrivals in 10 s, where 2,803
-        // were allowed. Two of six targets of the service that calls it had shed 55 in 100 of
-        // their requests for 7 s; then all targets of the called one did for two. What the first
-        // two shed ran at the others, and its runs made their calls: first sends to the nodes
-        // that sent them, further arrivals to the targets that got them. Nodes kept to seven
-        // tenths of their part with what they sent again themselves, and the calls came on top.
-        // Beside a target of the calling service 552 of 295 that were allowed:
+    calls_of_repeats_stay_within_the_retry_budget_of_the_called_service => {
+        // The targets of a called service got 2,804 extra arrivals in 10 s, where 2,803 were
+        // allowed. Two of six targets of the calling service had shed 55 in 100 of their requests
+        // for 7 s; then all targets of the called service did so for 2 s. The shed requests ran at
+        // other targets, and their runs made calls. Those were first sends to the nodes that sent
+        // them, but extra arrivals to the targets that got them. Each node kept its own retries to
+        // seven tenths of its share, and the calls came on top. At one node beside a target of the
+        // calling service, that made 552 extra arrivals where 295 were allowed:
         //
         //   SentAgain service b first 1451 arrived 1391 again 156 repeated 0 carried 396.2 allowed 295.0
         //
-        // Nearly all those repeats had not run before (`repeated`), and only the calls of such
-        // as had were reckoned with.
+        // Nearly all repeats were of requests that had not run before (`repeated 0`), and the
+        // budget only covered the calls of repeats that had.
         for (first, second) in [(3_000..10_000, 10_000..20_000), (9_000..20_000, 3_000..9_000), (3_000..20_000, 3_000..20_000)] {
-            let load = calls_between_two_that_shed(first.clone(), second.clone());
+            let load = calls_between_shedding_services(first.clone(), second.clone());
             for seed in 0..SEEDS {
                 let figures = load::run(&load, seed);
                 for (service, arrivals) in figures.arrivals.iter().enumerate() {
-                    let (further, allowed) = arrivals.worst(load.rule());
-                    assert!(further as f64 <= allowed, "{first:?} {second:?} seed {seed}: service {service}: {further} of {allowed:.0}");
+                    let (extra, allowed) = arrivals.worst(load.rule());
+                    assert!(extra as f64 <= allowed, "{first:?} {second:?} seed {seed}: service {service}: {extra} extra arrivals of {allowed:.0} allowed");
                 }
             }
         }
     }
 
-    sends_beyond_the_first_stay_within_the_allowance => {
+    retries_stay_within_the_retry_budget => {
         let sheds = Trouble {
             service: 1,
             share: 1.0,
@@ -447,8 +449,8 @@
         let figures = replay(&load);
         let calls = 1_300.0 * 0.7 * 2.0;
         let sent = (450.0 + calls) * load.length.as_secs_f64();
-        let most = load.resend_ratio * sent + load.resend_slack;
-        assert!(f64::from(figures.repeats[1]) < most, "{:?} of {most}", figures.repeats);
-        assert!(figures.repeats[1] > 500, "what is allowed is used: {:?}", figures.repeats);
+        let allowed = load.resend_ratio * sent + load.resend_slack;
+        assert!(f64::from(figures.repeats[1]) < allowed, "{:?} of {allowed} allowed", figures.repeats);
+        assert!(figures.repeats[1] > 500, "the retry budget is not used: {:?}", figures.repeats);
     }
 }
