--- a/src/coordination/decision/allowance.rs
+++ b/src/coordination/decision/allowance.rs
@@ -22,8 +22,9 @@
 /// between the windows of the nodes, and calls made by calls of repeats, which no node counts.
 const USED_SHARE: f64 = 0.7;
 
-/// The share of the allowed extra arrivals for retries of requests that may have run. It is
-/// small because a retry of a request that certainly did not run costs no second run.
+/// The share of the allowed extra arrivals for retries of requests that may have run. The
+/// larger part is for requests that certainly did not run, since their retries cost no second
+/// run.
 const REPEATED_SHARE: f64 = 0.25;
 
 /// The share of the allowed extra arrivals that this node's retries and the calls of repeats
@@ -33,7 +34,7 @@
 
 /// Steps of a window. One more is kept, so that usage is summed over a little more than the
 /// window.
-const STEPS: u32 = 10;
+const WINDOW_STEPS: u32 = 10;
 
 /// How much the fleet may retry.
 #[derive(Clone, Copy, Debug)]
@@ -145,12 +146,12 @@
         self.rule = rule;
     }
 
-    /// Records the first send of a request for `service`; `carried` is the probability that
-    /// it is a call made by a run that is a repeat.
-    pub fn earn(&mut self, service: &Name, carried: f64, now: Instant) {
+    /// Records the first send of a request for `service`; `repeat_chance` is the probability
+    /// that it is a call made by a run that is a repeat.
+    pub fn earn(&mut self, service: &Name, repeat_chance: f64, now: Instant) {
         let step = self.step(service, now);
         step.first_sends += 1;
-        step.repeat_calls += carried;
+        step.repeat_calls += repeat_chance;
     }
 
     /// Records that a target has seen a request for `service` for the first time.
@@ -230,7 +231,7 @@
 
     /// Returns the length of a step.
     fn step_length(&self) -> Duration {
-        self.rule.window / STEPS
+        self.rule.window / WINDOW_STEPS
     }
 
     /// Returns how long a step is kept: the window and one step.
--- a/src/coordination/decision/line.rs
+++ b/src/coordination/decision/line.rs
@@ -55,15 +55,16 @@
         self.bytes_per_s.is_some()
     }
 
-    /// Admits a body of `bytes` if its transfer can end within `spare`.
+    /// Admits a body of `bytes` if its transfer can end within `slack`, or if no other body is
+    /// pending.
     ///
     /// # Errors
     ///
-    /// The time by which its transfer behind the pending bodies would exceed `spare`.
-    pub fn count_in(&mut self, bytes: usize, spare: Duration) -> Result<(), Duration> {
+    /// The time by which its transfer behind the pending bodies would exceed `slack`.
+    pub fn count_in(&mut self, bytes: usize, slack: Duration) -> Result<(), Duration> {
         let time = self.span(self.pending_bytes + bytes);
-        if self.pending_bytes > 0 && time > spare {
-            return Err(time - spare);
+        if self.pending_bytes > 0 && time > slack {
+            return Err(time - slack);
         }
         self.pending_bytes += bytes;
         Ok(())
--- a/src/coordination/decision/reach.rs
+++ b/src/coordination/decision/reach.rs
@@ -27,7 +27,7 @@
 
 /// The longest pause between probes of a node, and so the longest time that a recovered
 /// node gets no requests. With a connection timeout of 0.25 s, 73 nodes that probe the same
-/// dead node send 22 probes a second.
+/// dead node send 22 probes a second altogether.
 const MAX_PAUSE: Duration = Duration::from_secs(3);
 
 /// The longest pause between probes of a partitioned failure domain. It is shorter than
@@ -130,8 +130,8 @@
                 since: now,
                 backoff: Backoff::new(now),
             });
-        // Without a probe under way, the failure is one of a request that was sent before the
-        // node became unreachable, and is no reason to extend the backoff.
+        // Only a failure during a probe extends the backoff. Any other one is of a request that
+        // was sent before the node became unreachable, and tells nothing new.
         if outage.backoff.is_probing {
             outage.backoff.extend(MAX_PAUSE, now);
         }
@@ -183,7 +183,7 @@
         };
         state.unanswered = 0;
         if let Some(outage) = state.outage.take() {
-            // The first nodes failed before the domain counted as partitioned.
+            // The first nodes failed some time before the domain counted as partitioned.
             let began = outage.since.checked_sub(MAX_PAUSE).unwrap_or(outage.since);
             self.nodes
                 .retain(|_, node| node.domain != *domain || node.since < began);
--- a/src/coordination/flow.rs
+++ b/src/coordination/flow.rs
@@ -55,13 +55,14 @@
         }
     }
 
-    /// Admits a body of `bytes` if its transfer can end within `spare`.
+    /// Admits a body of `bytes` if its transfer can end within `slack`, or if no other body is
+    /// pending.
     ///
     /// # Errors
     ///
-    /// The time by which its transfer behind the pending bodies would exceed `spare`.
-    pub fn count_in(&self, bytes: usize, spare: Duration) -> Result<Counted, Duration> {
-        self.line.lock().count_in(bytes, spare)?;
+    /// The time by which its transfer behind the pending bodies would exceed `slack`.
+    pub fn count_in(&self, bytes: usize, slack: Duration) -> Result<Counted, Duration> {
+        self.line.lock().count_in(bytes, slack)?;
         Ok(Counted {
             line: self.line.clone(),
             bytes,
--- a/src/coordination/presence.rs
+++ b/src/coordination/presence.rs
@@ -24,14 +24,15 @@
 /// which comes within 1.5 s.
 const FIRST_HEARTBEAT_WAIT: Duration = Duration::from_millis(2000);
 
-/// The part of this node's record in the store that targets ask about.
+/// The part of this node's record that is known to be in the store.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Written {
     /// The targets in the stored record; `None` if the store has no record of this node.
     pub targets: Option<Vec<Target>>,
 }
 
-/// Writes this node's record to the store whenever it changes; never returns.
+/// Writes this node's record to the store whenever it changes, and marks members as gone whose
+/// host this node's host has replaced; never returns.
 pub async fn keep_written(host: Arc<Host>, store: Store, written: watch::Sender<Written>) {
     host.until_members_known().await;
     let recorded = host.members.read().get(&host.settings.node).cloned();
@@ -157,7 +158,8 @@
 }
 
 /// Waits until this node's record may have to change: the node reported a change, or the
-/// member table has a record later than `held`.
+/// member table has a record later than `held`. Meanwhile it checks whether the heartbeats of
+/// the target are overdue.
 async fn until_changed(host: &Host, held: Option<&Member>) {
     loop {
         // A change without a notification is found at the next check.
