--- a/src/coordination/decision/quarantine/culprits.rs
+++ b/src/coordination/decision/quarantine/culprits.rs
@@ -1,30 +1,34 @@
-//! Which requests explain ends of targets.
+//! rilltrack distributes configuration to the proxies of a service mesh and
+//! routes their requests by it.
+//!
+//! Finds the requests that explain crashes of targets.
 
 use std::collections::{HashMap, HashSet};
 
 use crate::state::fingerprint::Fingerprint;
 
-/// Ends that one request alone must be in. One is chance: with it, all that a target ran is
-/// common.
-pub const ENDS: usize = 2;
+/// Crashes that have a request in common before it is a culprit, if no other request is in as
+/// many. At 1, every request that the crashed target was running would be common to all
+/// crashes.
+pub const MIN_CRASHES: usize = 2;
 
-/// Ends after which all requests that are in that many are taken, if they can't be told
-/// apart: further ends would cost more than to refuse one too many.
-const ALIKE: usize = 3;
+/// Crashes that have several requests in common before all of them are culprits. Waiting for
+/// further crashes to tell the requests apart would cost more than refusing one too many.
+const MIN_AMBIGUOUS_CRASHES: usize = 3;
 
-/// Returns the fewest requests that explain the ends, found step by step: the one that is
-/// in most of those that are left.
-pub fn culprits(ends: &[&HashSet<Fingerprint>]) -> HashSet<Fingerprint> {
+/// Returns the fewest requests that explain the crashes, found greedily: each step takes the
+/// request that is in most of the crashes not explained yet.
+pub fn culprits(crashes: &[&HashSet<Fingerprint>]) -> HashSet<Fingerprint> {
     let mut culprits = HashSet::new();
     loop {
-        let left = ends.iter().filter(|end| end.is_disjoint(&culprits));
+        let unexplained = crashes.iter().filter(|crash| crash.is_disjoint(&culprits));
         let mut counts: HashMap<Fingerprint, usize> = HashMap::new();
-        for content in left.flat_map(|end| end.iter()) {
+        for content in unexplained.flat_map(|crash| crash.iter()) {
             *counts.entry(*content).or_default() += 1;
         }
         let most = counts.values().copied().max().unwrap_or(0);
         counts.retain(|_, count| *count == most);
-        let is_clear = most >= ALIKE || (most >= ENDS && counts.len() == 1);
+        let is_clear = most >= MIN_AMBIGUOUS_CRASHES || (most >= MIN_CRASHES && counts.len() == 1);
         if !is_clear {
             return culprits;
         }
--- a/src/coordination/decision/quarantine/mod.rs
+++ b/src/coordination/decision/quarantine/mod.rs
@@ -1,24 +1,25 @@
-//! Which requests are held back because targets end under them.
+//! Decides which requests are quarantined because targets crash under them.
 //!
-//! The load that it answers: a request that ends whatever runs it, and comes again, by its
-//! caller at any node and by nodes' own repeats. Each time it takes along all that the
-//! target runs: some 18 requests that have nothing to do with it. Six targets of a service
-//! ended so within two seconds, and again whenever they were back.
+//! This guards against poison requests. A poison request crashes every target that runs it and
+//! is sent repeatedly, by its caller at any node and by retries of nodes. Each crash also
+//! aborts everything else that the target is running, some 18 unrelated requests. One such
+//! request crashed six targets of a service within two seconds, and again whenever they had
+//! restarted.
 //!
-//! Each node tells what its target was running whenever that ended
-//! ([`Evidence`]), and every node looks for the fewest requests that explain all ends: the
-//! one that most of them have in common, which explains those, and so on. A request that
-//! was there by chance is in one end, hardly in two; one that a target has answered since
-//! is in none. So two ends are enough where one request alone is in both, and where several
-//! are it takes a third.
+//! Each node reports what its target was running at each of its crashes ([`Evidence`]). From
+//! these reports every node computes the fewest requests that explain all crashes: the request
+//! that is in most crashes explains those, and so on with the rest. A request that was running
+//! by chance is in one crash, hardly in two, and one that a target has answered since is in
+//! none. So two crashes suffice if only one request is in both; if several are, a third crash
+//! is needed.
 //!
-//! Chance remains, so one that is held back is tried again, by one node and at its own
-//! target, after a time that grows with the targets that ended under it. An answer lets it
-//! go everywhere.
+//! A harmless request can still be quarantined by chance. So one node sends a quarantined
+//! request to its own target as a trial, after a delay that grows with the number of targets
+//! that crashed under it. An answer releases the request at all nodes.
 //!
-//! What is not covered: a request under which targets end only now and then is cleared by
-//! each answer in between; one that ends targets of nodes which can reach neither the store
-//! nor each other is held back by each of them for itself.
+//! Limits: a request under which targets crash only sometimes is cleared by each answer in
+//! between. Nodes that can reach neither the store nor each other each quarantine a request
+//! on their own evidence alone.
 //!
 //! # Example
 //!
@@ -26,324 +27,359 @@
 //! use std::time::Instant;
 //!
 //! use rilltrack::{
-//!     coordination::decision::quarantine::{Quarantine, Word},
-//!     state::{evidence::{End, Evidence}, fingerprint::Fingerprint},
+//!     coordination::decision::quarantine::{PeerEvidence, Quarantine},
+//!     state::{evidence::{Crash, Evidence}, fingerprint::Fingerprint},
 //! };
 //!
 //! let content = |path: &str| Fingerprint::of(&[path.as_bytes()]);
-//! let end = |instance: &str, contents| End { instance: instance.into(), contents };
-//! let told = Evidence {
-//!     ends: vec![end("i-1", vec![content("/card/7"), content("/card/8")])],
+//! let crash = |instance: &str, contents| Crash { instance: instance.into(), contents };
+//! let reported = Evidence {
+//!     ends: vec![crash("i-1", vec![content("/card/7"), content("/card/8")])],
 //!     ..Evidence::default()
 //! };
-//! let (me, other) = ("n-1".parse()?, "n-2".parse()?);
+//! let (me, peer) = ("n-1".parse()?, "n-2".parse()?);
 //! let mut quarantine = Quarantine::default();
-//! quarantine.note_end(&"i-2".into(), content("/card/9"), Instant::now());
-//! quarantine.note_end(&"i-2".into(), content("/card/7"), Instant::now());
-//! let word = Word { node: &other, is_present: true, evidence: &told };
-//! quarantine.review(&me, &[word], 2, || 0.0, Instant::now());
-//! assert!(quarantine.is_held(&content("/card/7")));
-//! assert!(!quarantine.is_held(&content("/card/8")));
+//! quarantine.note_crash(&"i-2".into(), content("/card/9"), Instant::now());
+//! quarantine.note_crash(&"i-2".into(), content("/card/7"), Instant::now());
+//! let peer = PeerEvidence { node: &peer, is_present: true, evidence: &reported };
+//! quarantine.review(&me, &[peer], 2, || 0.0, Instant::now());
+//! assert!(quarantine.is_quarantined(&content("/card/7")));
+//! assert!(!quarantine.is_quarantined(&content("/card/8")));
 //! # Ok::<(), rilltrack::id::Error>(())
 //! ```
 
 mod culprits;
 mod recent;
-mod words;
+mod reports;
 
 use std::{
     collections::{BTreeMap, HashMap, HashSet, VecDeque},
     time::{Duration, Instant},
 };
 
-pub use self::words::Word;
+pub use self::reports::PeerEvidence;
 use self::{
-    culprits::{ENDS, culprits},
-    recent::Recent,
-    words::{Open, Told, all_ends, cleared, speaks_since, told},
+    culprits::{MIN_CRASHES, culprits},
+    recent::RecentAnswers,
+    reports::{OpenCrash, Reported, all_crashes, clear_counts, reported, suspected_since},
 };
 use crate::{
     id::{Instance, Node},
     state::{
-        evidence::{Cleared, End, Evidence, Held},
+        evidence::{Cleared, Crash, Evidence, QuarantineEntry},
         fingerprint::Fingerprint,
     },
 };
 
-/// The reason of a refusal of a request that is held back.
+/// The reason for refusing a quarantined request.
 pub const HELD_BACK: &str = "targets ended under this request";
 
-/// How long an end that nothing explains is remembered. A request that comes less often
-/// ends one target in that time.
-const SUSPECT_FOR: Duration = Duration::from_secs(600);
+/// How long an unexplained crash is remembered. A request that comes less often crashes one
+/// target in that time.
+const CRASH_RETENTION: Duration = Duration::from_secs(600);
 
-/// How long a request under which two targets ended is held back before it is tried again.
-/// Without a trial, one that was there twice by chance would not be served any more.
-const HELD_FOR: Duration = Duration::from_secs(10);
+/// The delay before the first trial of a request that two targets crashed under. Without
+/// trials, a request that was running at two crashes by chance would never be served again.
+const FIRST_TRIAL_DELAY: Duration = Duration::from_secs(10);
 
-/// How much longer with each further target: 1, 6 and 36 minutes.
-const LONGER: u32 = 6;
+/// The factor by which each further crash extends the delay: to 1, 6 and 36 minutes.
+const TRIAL_DELAY_FACTOR: u32 = 6;
 
-/// Targets after which it is not tried any more: three, and three that trials may cost.
-const MOST_ENDS: u8 = 6;
+/// The number of crashes after which a request is not tried any more: three before trials, and
+/// three that trials may cost.
+const MAX_TRIAL_CRASHES: u8 = 6;
 
-/// The pause after a trial of which nothing was heard: longer than a request may take.
-const TRIAL: Duration = Duration::from_secs(30);
+/// The delay before the next trial if the outcome of the last one stays unknown: longer than
+/// a request may take.
+const TRIAL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long a node tells that a request was cleared: many times what it takes until all
-/// have heard.
-const CLEARED_FOR: Duration = Duration::from_secs(60);
+/// How long a node reports that a request was cleared: many times what the report takes to
+/// reach all nodes.
+const CLEARED_RETENTION: Duration = Duration::from_secs(60);
 
-/// Nodes that tell, in each review, that a request was cleared, of all that could.
-const CLEARERS: f64 = 4.0;
+/// How many nodes, on average, report in each review that a request was cleared, of all that
+/// could.
+const CLEARING_NODES: f64 = 4.0;
 
-/// How long others may object that a request is cleared: several times what it takes until
-/// all have heard of an end and of the objection. So long the ends are told beside what they
-/// led to, and a node that has seen it answered not long ago waits. Without it 223 of 24,000
-/// popular requests were refused in a minute in which a target ended every two seconds for
-/// other reasons; with it 94 of 480,000 (replay of `tests/quarantine.rs`, the first seed and
-/// all twenty).
-const OBJECTIONS: Duration = Duration::from_millis(1500);
+/// How long peers may object to a quarantine by reporting that the request is cleared: several
+/// times what the report of a crash and the objection take to reach all nodes. For that time a
+/// node goes on reporting the crashes beside the entry that explains them, and a node that saw
+/// the request answered recently doesn't quarantine it yet. Without this window, 223 of 24,000
+/// popular requests were refused within a minute in which a target crashed every two seconds
+/// for other reasons; with it, 94 of 480,000 (the cases of `tests/quarantine.rs`, with the
+/// first seed and with all twenty).
+const OBJECTION_WINDOW: Duration = Duration::from_millis(1500);
 
-/// Ends of its own target that a node remembers, the latest ones. More within
-/// [`SUSPECT_FOR`] is a target that ends by itself.
-const MAX_ENDS: usize = 8;
+/// The number of crashes of its own target that a node remembers, the latest ones. More than
+/// that within [`CRASH_RETENTION`] means that the target crashes by itself.
+const MAX_CRASHES: usize = 8;
 
-/// Requests at one end: several times the slots of a target.
+/// The number of requests that are recorded for one crash: several times the slots of a target.
 const MAX_CONTENTS: usize = 256;
 
-/// Requests that a node tells to be held back. Each has cost it a target.
-const MAX_HELD: usize = 64;
+/// The number of requests that a node reports as quarantined. Each has crashed its target.
+const MAX_ENTRIES: usize = 64;
 
-/// Ends that are explained and remembered, lest what is told of them late counts anew.
-const EXPLAINED: usize = 8;
+/// The number of explained crashes that a node remembers, so that a late report of one doesn't
+/// count as a new crash.
+const MAX_EXPLAINED: usize = 8;
 
-/// What a node knows of requests under which targets end.
+/// What a node knows of requests under which targets crash.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     own: Evidence,
-    /// The same as of the last review.
-    told: Evidence,
-    is_recalled: bool,
-    /// When it learned of an end; those of its own target have no node.
+    /// The evidence of this node as of the last review.
+    last_own: Evidence,
+    is_restored: bool,
+    /// When this node learned of each crash. Crashes of its own target have no node.
     learned: HashMap<(Option<Node>, Instance), Instant>,
     explained: VecDeque<Instance>,
-    /// When it was last told here that a request is held back or cleared.
-    own_since: HashMap<Fingerprint, Instant>,
-    own_cleared: HashMap<Fingerprint, Instant>,
-    /// When a target last answered a request under which others had ended.
+    /// When this node last reported each request as quarantined.
+    own_entries_at: HashMap<Fingerprint, Instant>,
+    /// When this node last reported each request as cleared.
+    own_cleared_at: HashMap<Fingerprint, Instant>,
+    /// When a target last answered each request under which others had crashed.
     answered: BTreeMap<Fingerprint, Instant>,
-    /// What each node has told of how often a request was cleared, and when that was heard.
+    /// How often a request was cleared according to each peer, and when that report arrived.
     cleared_by: HashMap<(Node, Fingerprint), (u32, Instant)>,
-    /// How often each was cleared in all.
-    cleared: HashMap<Fingerprint, u32>,
+    /// How often each request was cleared, over all nodes.
+    clear_counts: HashMap<Fingerprint, u32>,
     suspects: HashSet<Fingerprint>,
-    /// Since when the ends speak against a request that is not held back yet.
-    accused: HashMap<Fingerprint, Instant>,
-    recent: Recent,
-    held: HashMap<Fingerprint, Instant>,
-    /// Targets that ended under what nodes tell to be held back.
-    ends: HashMap<Fingerprint, u8>,
-    /// Requests that this node may try again.
-    mine: HashSet<Fingerprint>,
+    /// Since when each request is a culprit. Requests that nodes report as quarantined already are
+    /// not included.
+    culprits_since: HashMap<Fingerprint, Instant>,
+    recent: RecentAnswers,
+    /// Since when each request is quarantined here.
+    quarantined: HashMap<Fingerprint, Instant>,
+    /// The number of targets that crashed under each request that nodes report as quarantined.
+    crash_counts: HashMap<Fingerprint, u8>,
+    /// Requests that this node may send as a trial.
+    assigned: HashSet<Fingerprint>,
+    /// When the last trial of each request began.
     trials: HashMap<Fingerprint, Instant>,
 }
 
-/// What a review came to.
+/// The changes that a review made.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Review {
-    /// Requests that are held back from now on, with the ends that they explain, as far as
+    /// Requests that are quarantined from now on, with the crashes that they explain, as far as
     /// those are known here.
-    pub held: Vec<(Fingerprint, Vec<String>)>,
-    /// Requests that are not held back any more.
-    pub let_go: Vec<Fingerprint>,
-    /// Whether what this node tells of itself has changed.
-    pub is_news: bool,
+    pub quarantined: Vec<(Fingerprint, Vec<String>)>,
+    /// Requests that are not quarantined any more.
+    pub released: Vec<Fingerprint>,
+    /// Whether the evidence of this node has changed.
+    pub has_new_evidence: bool,
 }
 
 impl Quarantine {
-    /// Returns what this node tells the others.
+    /// Returns the evidence that this node reports to its peers.
     pub fn evidence(&self) -> &Evidence {
         &self.own
     }
 
-    /// Takes in what an earlier life of this node told, the first time that it is called.
-    pub fn recall(&mut self, told: Option<&Evidence>, now: Instant) {
-        if std::mem::replace(&mut self.is_recalled, true) {
+    /// Restores the crashes and quarantined requests that an earlier incarnation of this node
+    /// reported. Only the first call has an effect.
+    pub fn restore(&mut self, evidence: Option<&Evidence>, now: Instant) {
+        if std::mem::replace(&mut self.is_restored, true) {
             return;
         }
-        let Some(told) = told else { return };
-        for end in &told.ends {
-            for content in &end.contents {
-                self.note_end(&end.instance, *content, now);
+        let Some(evidence) = evidence else { return };
+        for crash in &evidence.ends {
+            for content in &crash.contents {
+                self.note_crash(&crash.instance, *content, now);
             }
         }
-        for held in &told.held {
-            self.tell_held(*held, now);
+        for entry in &evidence.held {
+            self.report_entry(*entry, now);
         }
     }
 
-    /// Notes that the target here ended while it ran this request.
-    pub fn note_end(&mut self, instance: &Instance, content: Fingerprint, now: Instant) {
+    /// Records that the local target crashed while it was running a request.
+    pub fn note_crash(&mut self, instance: &Instance, content: Fingerprint, now: Instant) {
         if self.explained.contains(instance) {
             return;
         }
         self.learned.entry((None, instance.clone())).or_insert(now);
-        let ends = &mut self.own.ends;
-        let at = ends.iter().position(|end| end.instance == *instance);
+        let crashes = &mut self.own.ends;
+        let at = crashes.iter().position(|crash| crash.instance == *instance);
         let at = at.unwrap_or_else(|| {
-            if ends.len() >= MAX_ENDS {
-                ends.remove(0);
+            if crashes.len() >= MAX_CRASHES {
+                crashes.remove(0);
             }
-            ends.push(End {
+            crashes.push(Crash {
                 instance: instance.clone(),
                 contents: Vec::new(),
             });
-            ends.len() - 1
+            crashes.len() - 1
         });
-        let contents = &mut ends[at].contents;
+        let contents = &mut crashes[at].contents;
         if contents.len() < MAX_CONTENTS && !contents.contains(&content) {
             contents.push(content);
         }
         self.suspects.insert(content);
     }
 
-    /// Notes that a target answered a request.
+    /// Records that a target answered a request.
     pub fn note_answer(&mut self, content: Fingerprint, now: Instant) {
         self.recent.note(content, now);
-        if self.suspects.contains(&content) || self.held.contains_key(&content) {
+        if self.suspects.contains(&content) || self.quarantined.contains_key(&content) {
             self.answered.insert(content, now);
         }
     }
 
-    /// Returns whether there is anything to look for in requests, or to look at again.
-    pub fn is_watching(&self) -> bool {
-        !(self.suspects.is_empty() && self.held.is_empty() && self.own.is_empty())
+    /// Returns whether any request is suspected or quarantined, or this node has evidence to
+    /// report. If not, requests needn't be checked and reviews can wait for news.
+    pub fn is_active(&self) -> bool {
+        !(self.suspects.is_empty() && self.quarantined.is_empty() && self.own.is_empty())
     }
 
-    /// Returns whether a request is held back.
-    pub fn is_held(&self, content: &Fingerprint) -> bool {
-        let Some(since) = self.held.get(content) else {
+    /// Returns whether a request is quarantined and has not been answered since.
+    pub fn is_quarantined(&self, content: &Fingerprint) -> bool {
+        let Some(since) = self.quarantined.get(content) else {
             return false;
         };
         let answered = self.answered.get(content);
         answered.is_none_or(|answered| answered <= since)
     }
 
-    /// Returns whether a request that is held back is tried again now, at the target here.
-    /// That is a trial: until something is heard of it there is no other.
-    pub fn try_again(&mut self, content: &Fingerprint, now: Instant) -> bool {
-        let ends = self.ends.get(content).copied().unwrap_or(0);
-        if !self.mine.contains(content) || ends >= MOST_ENDS {
+    /// Returns whether a quarantined request may be sent to the local target now, as a trial,
+    /// and if so records that the trial began. No other trial begins here until the outcome of
+    /// this one is known or it has timed out.
+    pub fn start_trial(&mut self, content: &Fingerprint, now: Instant) -> bool {
+        let crashes = self.crash_counts.get(content).copied().unwrap_or(0);
+        if !self.assigned.contains(content) || crashes >= MAX_TRIAL_CRASHES {
             return false;
         }
-        let wait = HELD_FOR * LONGER.pow(u32::from(ends).saturating_sub(ENDS as u32));
-        let is_due = |since: &Instant| now - *since >= wait;
-        let is_over = |since: &Instant| now - *since >= TRIAL;
-        let may = self.own_since.get(content).is_some_and(is_due)
+        let delay = FIRST_TRIAL_DELAY
+            * TRIAL_DELAY_FACTOR.pow(u32::from(crashes).saturating_sub(MIN_CRASHES as u32));
+        let is_due = |since: &Instant| now - *since >= delay;
+        let is_over = |since: &Instant| now - *since >= TRIAL_TIMEOUT;
+        let may_start = self.own_entries_at.get(content).is_some_and(is_due)
             && self.trials.get(content).is_none_or(is_over);
-        if may {
+        if may_start {
             self.trials.insert(*content, now);
         }
-        may
+        may_start
     }
 
-    /// Returns the requests that are held back, since when, and how many targets are known
-    /// to have ended under each.
-    pub fn held(&self) -> impl ExactSizeIterator<Item = (&Fingerprint, Instant, u8)> {
-        let ends = |content| self.ends.get(content).copied().unwrap_or(0);
-        self.held
+    /// Returns the quarantined requests, since when each is quarantined, and how many targets
+    /// are known to have crashed under it.
+    pub fn quarantined(&self) -> impl ExactSizeIterator<Item = (&Fingerprint, Instant, u8)> {
+        let crashes = |content| self.crash_counts.get(content).copied().unwrap_or(0);
+        self.quarantined
             .iter()
-            .map(move |(content, since)| (content, *since, ends(content)))
+            .map(move |(content, since)| (content, *since, crashes(content)))
     }
 
-    /// Lets a request go by an operator's word, which counts as an answer of a target.
-    /// Returns whether it was held back.
-    pub fn let_go(&mut self, content: Fingerprint, now: Instant) -> bool {
-        let was_held = self.held.contains_key(&content);
-        if was_held {
+    /// Releases a request on an operator's command, which counts as an answer of a target.
+    /// Returns whether the request was quarantined.
+    pub fn release(&mut self, content: Fingerprint, now: Instant) -> bool {
+        let was_quarantined = self.quarantined.contains_key(&content);
+        if was_quarantined {
             self.answered.insert(content, now);
-            self.tell_cleared(content, now);
+            self.report_cleared(content, now);
         }
-        was_held
+        was_quarantined
     }
 
-    /// Decides anew, by what this node, `me`, and the `others` of a fleet of `nodes` tell;
-    /// `chance` draws from 0 to 1.
+    /// Recomputes which requests are quarantined, from the evidence of this node, `me`, and of
+    /// its `peers`, in a fleet of `node_count` nodes. `draw` returns random numbers from 0 to 1.
     pub fn review(
         &mut self,
         me: &Node,
-        others: &[Word<'_>],
-        nodes: usize,
-        mut chance: impl FnMut() -> f64,
+        peers: &[PeerEvidence<'_>],
+        node_count: usize,
+        mut draw: impl FnMut() -> f64,
         now: Instant,
     ) -> Review {
         let own = self.own.clone();
-        self.learn(&own, others, now);
-        let ends = self.open(&own, others, now);
-        self.cleared = cleared(&own, others);
-        let told = told(me, &own, others, &self.cleared);
-        let is_unexplained = |left: &&HashSet<_>| !left.iter().any(|c| told.contains_key(c));
-        let unexplained: Vec<_> = ends
+        self.record_times(&own, peers, now);
+        let crashes = self.open_crashes(&own, peers, now);
+        self.clear_counts = clear_counts(&own, peers);
+        let reported = reported(me, &own, peers, &self.clear_counts);
+        let is_unexplained =
+            |unanswered: &&HashSet<_>| !unanswered.iter().any(|c| reported.contains_key(c));
+        let unexplained: Vec<_> = crashes
             .iter()
-            .map(|end| &end.left)
+            .map(|crash| &crash.unanswered)
             .filter(is_unexplained)
             .collect();
-        let accused = culprits(&unexplained);
-        let mut held: HashSet<Fingerprint> = told.keys().copied().collect();
-        held.extend(self.without_objection(accused, now));
-        self.clear(&ends, others, |content| told.contains_key(content), now);
-        self.tell(&ends, nodes, &mut chance, now);
-        let review = self.hold(&held, &ends, now);
-        self.explain(&held, &told, &ends, now);
-        let is_mine = |(_, told): &(&Fingerprint, &Told<'_>)| told.first == Some(me);
-        let mine = told.iter().filter(is_mine);
-        self.mine = mine.map(|(content, _)| *content).collect();
-        let with_ends = told.iter().map(|(content, told)| (*content, told.ends));
-        self.ends = with_ends.collect();
-        self.suspects = ends.iter().flat_map(|end| end.all).copied().collect();
-        self.forget(others, now);
-        let is_news = self.own != self.told;
-        self.told.clone_from(&self.own);
-        Review { is_news, ..review }
+        let culprits = culprits(&unexplained);
+        let mut quarantined: HashSet<Fingerprint> = reported.keys().copied().collect();
+        quarantined.extend(self.without_objection(culprits, now));
+        self.drop_answered(
+            &crashes,
+            peers,
+            |content| reported.contains_key(content),
+            now,
+        );
+        self.object(&crashes, node_count, &mut draw, now);
+        let review = self.update_quarantined(&quarantined, &crashes, now);
+        self.report_explained(&quarantined, &reported, &crashes, now);
+        let is_assigned =
+            |(_, reported): &(&Fingerprint, &Reported<'_>)| reported.first_node == Some(me);
+        let assigned = reported.iter().filter(is_assigned);
+        self.assigned = assigned.map(|(content, _)| *content).collect();
+        let with_crashes = reported
+            .iter()
+            .map(|(content, reported)| (*content, reported.crashes));
+        self.crash_counts = with_crashes.collect();
+        self.suspects = crashes
+            .iter()
+            .flat_map(|crash| crash.contents)
+            .copied()
+            .collect();
+        self.forget_times(peers, now);
+        let has_new_evidence = self.own != self.last_own;
+        self.last_own.clone_from(&self.own);
+        Review {
+            has_new_evidence,
+            ..review
+        }
     }
 
-    /// Notes when it learned of each end, and takes what others cleared for answered.
-    fn learn(&mut self, own: &Evidence, others: &[Word<'_>], now: Instant) {
+    /// Records when this node learned of each crash and of each report of a cleared request.
+    /// The latter counts as an answer.
+    fn record_times(&mut self, own: &Evidence, peers: &[PeerEvidence<'_>], now: Instant) {
         let before = std::mem::take(&mut self.learned);
-        for (node, end) in all_ends(own, others) {
-            let key = (node.cloned(), end.instance.clone());
+        for (node, crash) in all_crashes(own, peers) {
+            let key = (node.cloned(), crash.instance.clone());
             let at = before.get(&key).copied().unwrap_or(now);
             self.learned.insert(key, at);
         }
         let before = std::mem::take(&mut self.cleared_by);
-        for word in others {
-            for Cleared { content, times } in &word.evidence.cleared {
-                let key = (word.node.clone(), *content);
-                let heard = before.get(&key).filter(|(heard, _)| heard >= times);
-                if heard.is_none() {
+        for peer in peers {
+            for Cleared { content, times } in &peer.evidence.cleared {
+                let key = (peer.node.clone(), *content);
+                let known = before.get(&key).filter(|(known, _)| known >= times);
+                if known.is_none() {
                     self.answered.insert(*content, now);
                 }
-                let heard = heard.copied().unwrap_or((*times, now));
-                self.cleared_by.insert(key, heard);
+                let known = known.copied().unwrap_or((*times, now));
+                self.cleared_by.insert(key, known);
             }
         }
     }
 
-    /// Returns the ends that may count.
-    fn open<'a>(&self, own: &'a Evidence, others: &[Word<'a>], now: Instant) -> Vec<Open<'a>> {
-        let ends = all_ends(own, others).filter_map(|(node, end)| {
-            let learned = *self.learned.get(&(node.cloned(), end.instance.clone()))?;
+    /// Returns the crashes that still count as evidence.
+    fn open_crashes<'a>(
+        &self,
+        own: &'a Evidence,
+        peers: &[PeerEvidence<'a>],
+        now: Instant,
+    ) -> Vec<OpenCrash<'a>> {
+        let crashes = all_crashes(own, peers).filter_map(|(node, crash)| {
+            let learned = *self.learned.get(&(node.cloned(), crash.instance.clone()))?;
             let is_answered = |content: &&Fingerprint| {
                 let answered = self.answered.get(*content);
                 answered.is_some_and(|answered| *answered >= learned)
             };
-            Some(Open {
+            Some(OpenCrash {
                 node,
-                instance: &end.instance,
+                instance: &crash.instance,
                 learned,
-                all: &end.contents,
-                left: end
+                contents: &crash.contents,
+                unanswered: crash
                     .contents
                     .iter()
                     .filter(|c| !is_answered(c))
@@ -351,149 +387,171 @@
                     .collect(),
             })
         });
-        ends.filter(|end| now - end.learned < SUSPECT_FOR).collect()
+        crashes
+            .filter(|crash| now - crash.learned < CRASH_RETENTION)
+            .collect()
     }
 
-    /// Returns those of the accused that are to be held back.
+    /// Returns those culprits that are to be quarantined: this node saw no recent answer to
+    /// them, or the [`OBJECTION_WINDOW`] has passed.
     fn without_objection(
         &mut self,
-        accused: HashSet<Fingerprint>,
+        culprits: HashSet<Fingerprint>,
         now: Instant,
     ) -> Vec<Fingerprint> {
-        self.accused.retain(|content, _| accused.contains(content));
-        let mut held = Vec::new();
-        for content in accused {
-            let since = *self.accused.entry(content).or_insert(now);
-            if now - since >= OBJECTIONS || !self.recent.has(&content, now) {
-                held.push(content);
+        self.culprits_since
+            .retain(|content, _| culprits.contains(content));
+        let mut quarantined = Vec::new();
+        for content in culprits {
+            let since = *self.culprits_since.entry(content).or_insert(now);
+            if now - since >= OBJECTION_WINDOW || !self.recent.contains(&content, now) {
+                quarantined.push(content);
             }
         }
-        held
+        quarantined
     }
 
-    /// Takes out of what this node told what was answered since, where that matters: it is
-    /// held back or would be.
-    fn clear(
+    /// Removes answered requests from the evidence of this node, along with what has expired. An
+    /// answered request stays in a crash unless it is reported as quarantined or is in enough
+    /// crashes to be.
+    fn drop_answered(
         &mut self,
-        ends: &[Open<'_>],
-        others: &[Word<'_>],
-        is_told: impl Fn(&Fingerprint) -> bool,
+        crashes: &[OpenCrash<'_>],
+        peers: &[PeerEvidence<'_>],
+        is_reported: impl Fn(&Fingerprint) -> bool,
         now: Instant,
     ) {
         let is_common = |content: &Fingerprint| {
-            ends.iter().filter(|end| end.all.contains(content)).count() >= ENDS
+            crashes
+                .iter()
+                .filter(|crash| crash.contents.contains(content))
+                .count()
+                >= MIN_CRASHES
         };
-        let (answered, learned, since) = (&self.answered, &self.learned, &self.own_since);
-        let matters = |content: &Fingerprint| is_told(content) || is_common(content);
-        for end in &mut self.own.ends {
-            let learned = learned.get(&(None, end.instance.clone()));
-            end.contents.retain(|content| {
+        let (answered, learned, entries_at) = (&self.answered, &self.learned, &self.own_entries_at);
+        let matters = |content: &Fingerprint| is_reported(content) || is_common(content);
+        for crash in &mut self.own.ends {
+            let learned = learned.get(&(None, crash.instance.clone()));
+            crash.contents.retain(|content| {
                 let answered = answered.get(content);
                 answered < learned || answered.is_none() || !matters(content)
             });
         }
-        self.own.ends.retain(|end| {
-            let learned = learned.get(&(None, end.instance.clone()));
-            let is_young = learned.is_none_or(|learned| now - *learned < SUSPECT_FOR);
-            is_young && !end.contents.is_empty()
+        self.own.ends.retain(|crash| {
+            let learned = learned.get(&(None, crash.instance.clone()));
+            let is_recent = learned.is_none_or(|learned| now - *learned < CRASH_RETENTION);
+            is_recent && !crash.contents.is_empty()
         });
-        let cleared = &self.cleared;
-        self.own.held.retain(|held| {
-            let answered = answered.get(&held.content);
-            let times = cleared.get(&held.content).copied().unwrap_or(0);
-            held.round >= times && (answered.is_none() || answered <= since.get(&held.content))
+        let clear_counts = &self.clear_counts;
+        self.own.held.retain(|entry| {
+            let answered = answered.get(&entry.content);
+            let times = clear_counts.get(&entry.content).copied().unwrap_or(0);
+            entry.round >= times
+                && (answered.is_none() || answered <= entries_at.get(&entry.content))
         });
-        let own_cleared = &self.own_cleared;
+        let cleared_at = &self.own_cleared_at;
         self.own.cleared.retain(|cleared| {
-            let since = own_cleared.get(&cleared.content);
-            since.is_some_and(|since| now - *since < CLEARED_FOR)
-                || others
+            let since = cleared_at.get(&cleared.content);
+            since.is_some_and(|since| now - *since < CLEARED_RETENTION)
+                || peers
                     .iter()
-                    .any(|word| word.evidence.speaks_of(&cleared.content))
+                    .any(|peer| peer.evidence.implicates(&cleared.content))
         });
     }
 
-    /// Tells what was answered and is held back elsewhere, or would be.
-    fn tell(
+    /// Reports requests as cleared that were answered although they are quarantined or are in
+    /// enough crashes to be.
+    fn object(
         &mut self,
-        ends: &[Open<'_>],
-        nodes: usize,
-        chance: &mut impl FnMut() -> f64,
+        crashes: &[OpenCrash<'_>],
+        node_count: usize,
+        draw: &mut impl FnMut() -> f64,
         now: Instant,
     ) {
-        let first = |content: &Fingerprint| {
-            let common = speaks_since(ends, content);
-            common.or_else(|| self.held.get(content).copied())
+        let since = |content: &Fingerprint| {
+            let suspected = suspected_since(crashes, content);
+            suspected.or_else(|| self.quarantined.get(content).copied())
         };
-        let last_told = |content: &Fingerprint| {
+        let last_cleared = |content: &Fingerprint| {
             let theirs = self.cleared_by.iter().filter(|((_, c), _)| c == content);
             let theirs = theirs.map(|(_, (_, at))| *at);
-            theirs.chain(self.own_cleared.get(content).copied()).max()
+            theirs
+                .chain(self.own_cleared_at.get(content).copied())
+                .max()
         };
-        let news = self.answered.iter().filter(|(content, at)| {
-            let first = first(content);
-            first.is_some_and(|first| **at > first) && last_told(content) < first
+        let to_report = self.answered.iter().filter(|(content, at)| {
+            let since = since(content);
+            since.is_some_and(|since| **at > since) && last_cleared(content) < since
         });
-        let news: Vec<Fingerprint> = news.map(|(content, _)| *content).collect();
-        for content in news {
-            // Who tried it is the one that knows.
-            let tried = self.trials.contains_key(&content);
-            if tried || chance() * (nodes.max(1) as f64) < CLEARERS {
-                self.tell_cleared(content, now);
+        let to_report: Vec<Fingerprint> = to_report.map(|(content, _)| *content).collect();
+        for content in to_report {
+            // The node that made the trial may be the only one that knows of the answer.
+            let is_tried = self.trials.contains_key(&content);
+            if is_tried || draw() * (node_count.max(1) as f64) < CLEARING_NODES {
+                self.report_cleared(content, now);
             }
         }
     }
 
-    /// Notes which requests are held back; returns what is new of that.
-    fn hold(&mut self, held: &HashSet<Fingerprint>, ends: &[Open<'_>], now: Instant) -> Review {
+    /// Sets which requests are quarantined here; returns the changes.
+    fn update_quarantined(
+        &mut self,
+        quarantined: &HashSet<Fingerprint>,
+        crashes: &[OpenCrash<'_>],
+        now: Instant,
+    ) -> Review {
         let mut review = Review::default();
-        for content in held {
-            if self.held.contains_key(content) {
+        for content in quarantined {
+            if self.quarantined.contains_key(content) {
                 continue;
             }
-            let since = speaks_since(ends, content);
-            self.held.insert(*content, since.unwrap_or(now));
-            let with = ends.iter().filter(|end| end.all.contains(content));
-            let names = with.map(|end| match end.node {
-                Some(node) => format!("{node}/{}", end.instance),
-                None => end.instance.to_string(),
+            let since = suspected_since(crashes, content);
+            self.quarantined.insert(*content, since.unwrap_or(now));
+            let with = crashes
+                .iter()
+                .filter(|crash| crash.contents.contains(content));
+            let names = with.map(|crash| match crash.node {
+                Some(node) => format!("{node}/{}", crash.instance),
+                None => crash.instance.to_string(),
             });
-            review.held.push((*content, names.collect()));
+            review.quarantined.push((*content, names.collect()));
         }
-        self.held.retain(|content, _| {
-            let is_still = held.contains(content);
-            if !is_still {
-                review.let_go.push(*content);
+        self.quarantined.retain(|content, _| {
+            let is_kept = quarantined.contains(content);
+            if !is_kept {
+                review.released.push(*content);
             }
-            is_still
+            is_kept
         });
         review
     }
 
-    /// Tells which requests ended the target here. The ends that they explain are told for
-    /// a while yet, so that others can object.
-    fn explain(
+    /// Reports the quarantined requests that explain crashes of the local target. Those crashes
+    /// are reported for the [`OBJECTION_WINDOW`] as well, so that peers can object.
+    fn report_explained(
         &mut self,
-        held: &HashSet<Fingerprint>,
-        told: &HashMap<Fingerprint, Told<'_>>,
-        ends: &[Open<'_>],
+        quarantined: &HashSet<Fingerprint>,
+        reported: &HashMap<Fingerprint, Reported<'_>>,
+        crashes: &[OpenCrash<'_>],
         now: Instant,
     ) {
         let mut settled = Vec::new();
-        for end in ends.iter().filter(|end| end.node.is_none()) {
-            let explains: Vec<_> = end.left.intersection(held).collect();
-            let is_new = !self.explained.contains(end.instance);
+        for crash in crashes.iter().filter(|crash| crash.node.is_none()) {
+            let explains: Vec<_> = crash.unanswered.intersection(quarantined).collect();
+            let is_new = !self.explained.contains(crash.instance);
             for content in explains.iter().filter(|_| is_new) {
-                let with = ends.iter().filter(|end| end.left.contains(*content));
-                let ends = match told.get(*content) {
-                    Some(told) => told.ends.saturating_add(1),
+                let with = crashes
+                    .iter()
+                    .filter(|crash| crash.unanswered.contains(*content));
+                let ends = match reported.get(*content) {
+                    Some(reported) => reported.crashes.saturating_add(1),
                     None => u8::try_from(with.count()).unwrap_or(u8::MAX),
                 };
                 let content = **content;
-                let round = self.cleared.get(&content).copied().unwrap_or(0);
+                let round = self.clear_counts.get(&content).copied().unwrap_or(0);
                 self.trials.remove(&content);
-                self.tell_held(
-                    Held {
+                self.report_entry(
+                    QuarantineEntry {
                         content,
                         ends,
                         round,
@@ -502,67 +560,71 @@
                 );
             }
             if is_new && !explains.is_empty() {
-                self.explained.push_back(end.instance.clone());
+                self.explained.push_back(crash.instance.clone());
             }
             let since = explains
                 .iter()
-                .filter_map(|content| self.own_since.get(content));
-            if since.max().is_some_and(|since| now - *since >= OBJECTIONS) {
-                settled.push(end.instance);
+                .filter_map(|content| self.own_entries_at.get(content));
+            if since
+                .max()
+                .is_some_and(|since| now - *since >= OBJECTION_WINDOW)
+            {
+                settled.push(crash.instance);
             }
         }
         self.own
             .ends
-            .retain(|end| !settled.contains(&&end.instance));
-        let beyond = self.explained.len().saturating_sub(EXPLAINED);
+            .retain(|crash| !settled.contains(&&crash.instance));
+        let beyond = self.explained.len().saturating_sub(MAX_EXPLAINED);
         self.explained.drain(..beyond);
     }
 
-    fn tell_held(&mut self, held: Held, now: Instant) {
+    fn report_entry(&mut self, entry: QuarantineEntry, now: Instant) {
         let own = &mut self.own.held;
-        match own.iter_mut().find(|own| own.content == held.content) {
+        match own.iter_mut().find(|own| own.content == entry.content) {
             Some(known) => {
-                known.ends = known.ends.max(held.ends);
-                known.round = known.round.max(held.round);
+                known.ends = known.ends.max(entry.ends);
+                known.round = known.round.max(entry.round);
             }
             None => {
-                if own.len() >= MAX_HELD {
+                if own.len() >= MAX_ENTRIES {
                     own.remove(0);
                 }
-                own.push(held);
+                own.push(entry);
             }
         }
-        self.own_since.insert(held.content, now);
+        self.own_entries_at.insert(entry.content, now);
     }
 
-    fn tell_cleared(&mut self, content: Fingerprint, now: Instant) {
-        let times = self.cleared.entry(content).or_default();
+    fn report_cleared(&mut self, content: Fingerprint, now: Instant) {
+        let times = self.clear_counts.entry(content).or_default();
         *times += 1;
-        let told = Cleared {
+        let cleared = Cleared {
             content,
             times: *times,
         };
         self.own
             .cleared
             .retain(|cleared| cleared.content != content);
-        self.own.cleared.push(told);
-        self.own_cleared.insert(content, now);
+        self.own.cleared.push(cleared);
+        self.own_cleared_at.insert(content, now);
     }
 
-    /// Forgets times of what is not known any more.
-    fn forget(&mut self, others: &[Word<'_>], now: Instant) {
-        let (suspects, held, own) = (&self.suspects, &self.held, &self.own);
-        // A word of an end may come later than the one that clears it.
-        let is_told =
-            |content: &Fingerprint| others.iter().any(|word| word.evidence.speaks_of(content));
+    /// Removes the times of requests that are not known any more.
+    fn forget_times(&mut self, peers: &[PeerEvidence<'_>], now: Instant) {
+        let (suspects, quarantined, own) = (&self.suspects, &self.quarantined, &self.own);
+        // The report of a crash may arrive after the one that clears the request.
+        let is_implicated =
+            |content: &Fingerprint| peers.iter().any(|peer| peer.evidence.implicates(content));
         self.answered.retain(|content, at| {
-            let is_known = suspects.contains(content) || held.contains_key(content);
-            is_known || is_told(content) || now - *at < CLEARED_FOR
+            let is_known = suspects.contains(content) || quarantined.contains_key(content);
+            is_known || is_implicated(content) || now - *at < CLEARED_RETENTION
         });
-        self.own_since
-            .retain(|content, _| own.held.iter().any(|held| held.content == *content));
-        self.own_cleared
+        self.own_entries_at
+            .retain(|content, _| own.held.iter().any(|entry| entry.content == *content));
+        self.own_cleared_at
             .retain(|content, _| own.cleared.iter().any(|c| c.content == *content));
-        self.trials.retain(|content, _| held.contains_key(content));
+        self.trials
+            .retain(|content, _| quarantined.contains_key(content));
     }
 }
--- a/src/coordination/review.rs
+++ b/src/coordination/review.rs
@@ -1,5 +1,5 @@
-//! Which requests are held back at this node: decided again and again, as nodes tell of
-//! targets that end.
+//! Keeps the list of the requests that are quarantined at this node up to date, as nodes report
+//! crashes of targets.
 
 use std::{
     sync::{
@@ -14,7 +14,7 @@
 
 use crate::{
     coordination::{
-        decision::quarantine::{Quarantine, Review, Word},
+        decision::quarantine::{PeerEvidence, Quarantine, Review},
         host::Host,
     },
     event::Event,
@@ -25,130 +25,138 @@
     unit::Span,
 };
 
-/// The pause before a review: what a target was running breaks off within 4 ms, and is told
-/// of in one record.
-const GATHER: Duration = Duration::from_millis(20);
+/// The delay before a review. The requests that a crashed target was running fail within 4 ms
+/// of each other, so one record reports all of them.
+const GATHER_DELAY: Duration = Duration::from_millis(20);
 
-/// How often times that run out are looked at while there is anything to look for.
-const LOOK: Duration = Duration::from_millis(500);
+/// The interval of reviews without news, for times that expire, while any request is suspected
+/// or quarantined.
+const REVIEW_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What this node knows of requests under which targets end.
+/// The quarantine of this node, shared by the tasks that use it.
 #[derive(Debug, Default)]
 pub struct Reviews {
     quarantine: Mutex<Quarantine>,
-    /// Wakes the duty that decides.
-    suspected: Notify,
-    /// Whether anything is to be looked for in requests: most of the time nothing is.
-    watching: AtomicBool,
-    /// Whether what other nodes told was looked at once.
-    done: AtomicBool,
+    /// Wakes the task that runs the reviews.
+    wake: Notify,
+    /// Whether requests have to be checked at all: most of the time no request is suspected.
+    is_active: AtomicBool,
+    /// Whether the evidence of other nodes was reviewed once.
+    is_reviewed: AtomicBool,
 }
 
 impl Reviews {
-    /// Takes in, once, what an earlier life of this node told.
-    pub fn recall(&self, told: Option<&Evidence>) {
-        self.quarantine.lock().recall(told, Instant::now());
+    /// Restores the crashes and quarantined requests that an earlier incarnation of this node
+    /// reported. Only the first call has an effect.
+    pub fn restore(&self, evidence: Option<&Evidence>) {
+        self.quarantine.lock().restore(evidence, Instant::now());
     }
 
-    /// Returns what this node tells others.
+    /// Returns the evidence that this node reports to its peers.
     pub fn evidence(&self) -> Evidence {
         self.quarantine.lock().evidence().clone()
     }
 
-    /// Notes that there is news of a member, and whether it tells of such requests.
-    pub fn hear(&self, tells: bool) {
-        if tells || self.is_watching() {
-            self.suspected.notify_one();
+    /// Requests a review because the record of a member changed, if that record has evidence or
+    /// any request is suspected or quarantined here.
+    pub fn hear(&self, has_evidence: bool) {
+        if has_evidence || self.is_active() {
+            self.wake.notify_one();
         }
     }
 
-    /// Notes that the target here ended while it ran this request.
+    /// Records that the local target crashed while it was running a request.
     pub fn note_end(&self, instance: &Instance, content: Fingerprint) {
         let mut quarantine = self.quarantine.lock();
-        quarantine.note_end(instance, content, Instant::now());
-        self.watching.store(true, Ordering::Relaxed);
+        quarantine.note_crash(instance, content, Instant::now());
+        self.is_active.store(true, Ordering::Relaxed);
         drop(quarantine);
-        self.suspected.notify_one();
+        self.wake.notify_one();
     }
 
-    /// Notes that a target answered a request.
+    /// Records that a target answered a request.
     pub fn note_answer(&self, content: Fingerprint) {
         self.quarantine.lock().note_answer(content, Instant::now());
     }
 
-    /// Returns whether a request is held back.
+    /// Returns whether a request is quarantined.
     pub fn is_held(&self, content: &Fingerprint) -> bool {
-        self.is_watching() && self.quarantine.lock().is_held(content)
+        self.is_active() && self.quarantine.lock().is_quarantined(content)
     }
 
-    /// Returns whether a request that is held back is tried again now at the target here.
+    /// Returns whether a quarantined request may be sent to the local target now, as a trial,
+    /// and if so records that the trial began.
     pub fn try_again(&self, content: &Fingerprint) -> bool {
-        self.quarantine.lock().try_again(content, Instant::now())
+        self.quarantine.lock().start_trial(content, Instant::now())
     }
 
-    /// Returns the requests that are held back.
+    /// Returns the quarantined requests, for operators.
     pub fn held(&self, now: Instant) -> Vec<Quarantined> {
         let quarantine = self.quarantine.lock();
-        let held = quarantine.held().map(|(content, since, ends)| Quarantined {
-            content: *content,
-            ends,
-            since_ms: Span::of(now - since).as_millis(),
-        });
-        held.collect()
-    }
-
-    /// Lets a request go at every node, by an operator's word; returns whether it was held
-    /// back here.
+        let quarantined = quarantine
+            .quarantined()
+            .map(|(content, since, ends)| Quarantined {
+                content: *content,
+                ends,
+                since_ms: Span::of(now - since).as_millis(),
+            });
+        quarantined.collect()
+    }
+
+    /// Releases a request at every node on an operator's command; returns whether it was
+    /// quarantined here.
     pub fn let_go(&self, content: Fingerprint) -> bool {
-        let was_held = self.quarantine.lock().let_go(content, Instant::now());
-        self.suspected.notify_one();
-        was_held
+        let was_quarantined = self.quarantine.lock().release(content, Instant::now());
+        self.wake.notify_one();
+        was_quarantined
     }
 
-    /// Returns whether it is known which requests are held back.
+    /// Returns whether the first review has run, so that the quarantined requests are known.
     pub fn are_done(&self) -> bool {
-        self.done.load(Ordering::Relaxed)
+        self.is_reviewed.load(Ordering::Relaxed)
     }
 
-    fn is_watching(&self) -> bool {
-        self.watching.load(Ordering::Relaxed)
+    fn is_active(&self) -> bool {
+        self.is_active.load(Ordering::Relaxed)
     }
 
-    /// Decides by what other nodes tell, in a fleet of `nodes`.
-    fn review(&self, me: &Node, words: &[Word<'_>], nodes: usize) -> Review {
+    /// Recomputes which requests are quarantined, from the evidence of `peers`, in a fleet of
+    /// `node_count` nodes.
+    fn review(&self, me: &Node, peers: &[PeerEvidence<'_>], node_count: usize) -> Review {
         let mut quarantine = self.quarantine.lock();
-        let review = quarantine.review(me, words, nodes, fastrand::f64, Instant::now());
-        let is_watching = quarantine.is_watching();
-        self.watching.store(is_watching, Ordering::Relaxed);
-        self.done.store(true, Ordering::Relaxed);
+        let review = quarantine.review(me, peers, node_count, fastrand::f64, Instant::now());
+        let is_active = quarantine.is_active();
+        self.is_active.store(is_active, Ordering::Relaxed);
+        self.is_reviewed.store(true, Ordering::Relaxed);
         review
     }
 }
 
-/// Takes in what an earlier life of this node told.
+/// Restores the evidence that an earlier incarnation of this node recorded in the store.
 pub fn recall(host: &Host) {
     let members = host.members.read();
     let recorded = members.get(&host.settings.node);
-    host.reviews.recall(recorded.map(|member| &member.evidence));
+    host.reviews
+        .restore(recorded.map(|member| &member.evidence));
 }
 
-/// Reviews what is known whenever there is news of it; never returns.
+/// Runs a review whenever there is new evidence; never returns.
 ///
-/// The first review comes as soon as the members are known: what earlier lives of this and
-/// other nodes told stands there, and no request is taken before.
+/// The first review runs as soon as the members are known. Their records hold the evidence of
+/// earlier incarnations of this and other nodes, and this node accepts no request before.
 pub async fn keep(host: Arc<Host>) {
     host.until_members_known().await;
     recall(&host);
     review(&host);
     loop {
-        let told = host.reviews.suspected.notified();
-        if host.reviews.is_watching() {
-            // Either way it is time.
-            let _ = tokio::time::timeout(LOOK, told).await;
+        let wake = host.reviews.wake.notified();
+        if host.reviews.is_active() {
+            // A timeout is no error: the review is due then, too.
+            let _ = tokio::time::timeout(REVIEW_INTERVAL, wake).await;
         } else {
-            told.await;
+            wake.await;
         }
-        tokio::time::sleep(GATHER).await;
+        tokio::time::sleep(GATHER_DELAY).await;
         review(&host);
     }
 }
@@ -157,29 +165,29 @@
     let review = {
         let members = host.members.read();
         let me = &host.settings.node;
-        let words = members.iter().filter(|member| member.node != *me);
-        let words = words.filter(|member| !member.evidence.is_empty());
-        let words: Vec<Word<'_>> = words.map(|member| word(member)).collect();
-        host.reviews.review(me, &words, members.len())
+        let peers = members.iter().filter(|member| member.node != *me);
+        let peers = peers.filter(|member| !member.evidence.is_empty());
+        let peers: Vec<PeerEvidence<'_>> = peers.map(|member| peer_evidence(member)).collect();
+        host.reviews.review(me, &peers, members.len())
     };
-    for (content, ends) in &review.held {
+    for (content, crashes) in &review.quarantined {
         note!(
             host.journal,
             Event::HeldBack,
             content = content,
-            ends = ends.join(","),
+            ends = crashes.join(","),
         );
     }
-    for content in &review.let_go {
+    for content in &review.released {
         note!(host.journal, Event::LetGo, content = content);
     }
-    if review.is_news {
+    if review.has_new_evidence {
         host.changed.notify_one();
     }
 }
 
-fn word(member: &Member) -> Word<'_> {
-    Word {
+fn peer_evidence(member: &Member) -> PeerEvidence<'_> {
+    PeerEvidence {
         node: &member.node,
         is_present: member.is_present(),
         evidence: &member.evidence,
--- a/src/state/evidence.rs
+++ b/src/state/evidence.rs
@@ -1,60 +1,61 @@
-//! What nodes tell each other of requests under which targets ended.
+//! Evidence that nodes exchange on requests under which targets crashed.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{id::Instance, state::fingerprint::Fingerprint};
 
-/// What one node knows of such requests: a part of what it says of itself
-/// ([`Member`](crate::state::member::Member)), so the platform's store keeps it.
+/// The evidence of one node. It is a part of the node's
+/// [`Member`](crate::state::member::Member) record, so the platform's store keeps it.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// Ends of the target here that nothing explains yet.
-    pub ends: Vec<End>,
-    /// Requests under which the target here ended and which are held back for it.
-    pub held: Vec<Held>,
-    /// Requests that a target answered after others had ended under them.
+    /// Crashes of the node's target that no quarantined request explains yet.
+    pub ends: Vec<Crash>,
+    /// Requests under which the node's target crashed and which are quarantined for it.
+    pub held: Vec<QuarantineEntry>,
+    /// Requests that a target answered after others had crashed under them.
     pub cleared: Vec<Cleared>,
 }
 
-/// The end of one life of a target.
+/// A crash of one instance of a target.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct End {
-    /// The life.
+pub struct Crash {
+    /// The instance that crashed.
     pub instance: Instance,
-    /// What it was running.
+    /// The requests that it was running.
     pub contents: Vec<Fingerprint>,
 }
 
-/// A request that is held back.
+/// A quarantined request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Held {
-    /// What the request is.
+pub struct QuarantineEntry {
+    /// The fingerprint of the request.
     pub content: Fingerprint,
-    /// Targets that have ended under it, as far as the node knew when its own did.
+    /// Targets that have crashed under the request, as far as the node knew when its own did.
     pub ends: u8,
-    /// How often it had been cleared before: a later clearing overrules this, whoever told
-    /// it and whether or not that node is still there to take it back.
+    /// How often the request had been cleared before. A higher [`Cleared::times`] from any node
+    /// overrules this entry, also when the node that reported the entry is gone and can't
+    /// withdraw it.
     pub round: u32,
 }
 
-/// A request that a target answered after others had ended under it.
+/// A request that a target answered after others had crashed under it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Cleared {
-    /// What the request is.
+    /// The fingerprint of the request.
     pub content: Fingerprint,
-    /// How often it has been cleared in all, as far as the node knew.
+    /// How often the request has been cleared in all, as far as the node knew.
     pub times: u32,
 }
 
 impl Evidence {
-    /// Returns whether it says nothing.
+    /// Returns whether there is nothing to report.
     pub fn is_empty(&self) -> bool {
         self.ends.is_empty() && self.held.is_empty() && self.cleared.is_empty()
     }
 
-    /// Returns whether it speaks against a request.
-    pub fn speaks_of(&self, content: &Fingerprint) -> bool {
-        let is_held = self.held.iter().any(|held| held.content == *content);
-        is_held || self.ends.iter().any(|end| end.contents.contains(content))
+    /// Returns whether a request is quarantined or was running at a crash.
+    pub fn implicates(&self, content: &Fingerprint) -> bool {
+        let is_quarantined = self.held.iter().any(|entry| entry.content == *content);
+        is_quarantined || self.ends.iter().any(|end| end.contents.contains(content))
     }
 }
