--- a/standins/tests/fatal.rs
+++ b/standins/tests/fatal.rs
@@ -1,11 +1,11 @@
-//! Requests that end whatever target runs them, over real processes on loopback.
+//! Poison requests, which crash every target that runs them, over real processes on loopback.
 //!
-//! Within a second four of six targets of a service ended, with sixteen to eighteen requests
-//! under way at each, and whenever some of them were back they ended again: 18 in one such
-//! spell, 22 in the next. One lookup came again and again, by its caller at any node and by
-//! the nodes' own repeats, and nothing remembered that targets had ended under it: when it
-//! had ended three already it reached thirteen more. The same here, within three
-//! milliseconds and one request:
+//! Guards against a failure in which four of six targets of a service crashed within a second,
+//! each while it was running sixteen to eighteen requests, and crashed again whenever some had
+//! restarted: 18 crashes in one such period, 22 in the next. One lookup was sent repeatedly, by
+//! its caller at any node and by retries of nodes. Nothing recorded that targets had crashed
+//! under it: after three crashes it reached thirteen more targets. The targets of this test
+//! showed the same, by one request within three milliseconds:
 //!
 //! ```text
 //! TargetEnded node n2, instance i1, content 84465ffc090820f1b83aa7b6007538ae
@@ -24,14 +24,14 @@
     until,
 };
 
-/// The path of the requests that end targets.
-const FATAL: &str = "/get/a/fatal";
+/// The path of the poison requests.
+const POISON_PATH: &str = "/get/a/fatal";
 
-/// Targets that may end under a request before it is sent to none any more: three, and
-/// three sends beyond.
-const MOST: usize = 6;
+/// The number of crashes under a request after which no target receives it any more: three,
+/// and three by further sends.
+const MAX_CRASHES: usize = 6;
 
-/// Rounds of such requests at every node.
+/// How often each node receives a poison request.
 const ROUNDS: usize = 12;
 
 /// Four hosts with a target of service a and two with one of service b, in two failure
@@ -39,7 +39,8 @@
 struct Fleet {
     _store: Store,
     hosts: Vec<Host>,
-    lives: usize,
+    /// The number of the newest instance of any target.
+    newest_instance: usize,
 }
 
 impl Fleet {
@@ -53,7 +54,7 @@
         }
         for host in &hosts {
             host.target.end_under("fatal");
-            until("it knows all targets", async || {
+            until("the host knows all targets", async || {
                 (0..hosts.len()).all(|other| host.knows(&format!("n{other}")))
             })
             .await;
@@ -61,17 +62,17 @@
         Self {
             _store: store,
             hosts,
-            lives: 1,
+            newest_instance: 1,
         }
     }
 
-    /// Sends the request that ends targets until it is refused at every node.
-    async fn until_held(&mut self) {
+    /// Sends the poison request at each node until that node refuses it as quarantined.
+    async fn until_quarantined(&mut self) {
         for i in 0..self.hosts.len() {
             let mut count = 0;
             loop {
                 let id = format!("until-{i}-{count}");
-                let answer = self.hosts[i].ask("GET", FATAL, &id, "").await;
+                let answer = self.hosts[i].ask("GET", POISON_PATH, &id, "").await;
                 self.restart().await;
                 if status(&answer) == "503" && answer.contains(HELD_BACK) {
                     break;
@@ -82,43 +83,47 @@
         }
     }
 
-    /// Sends it once at every node; it must be held back at each.
-    async fn check_held(&mut self, why: &str) {
-        let before = self.ended();
+    /// Sends the poison request once at every node. Each must refuse it as quarantined, with no
+    /// further crash.
+    async fn check_quarantined(&mut self, why: &str) {
+        let before = self.crash_count();
         for host in &self.hosts {
-            let answer = host.ask("GET", FATAL, &format!("held-{why}"), "").await;
+            let answer = host
+                .ask("GET", POISON_PATH, &format!("held-{why}"), "")
+                .await;
             assert!(answer.contains(HELD_BACK), "{why}: {answer}");
         }
-        assert_eq!(self.ended(), before, "{why}");
+        assert_eq!(self.crash_count(), before, "{why}");
     }
 
-    fn ended(&self) -> usize {
+    /// Returns how many targets have crashed.
+    fn crash_count(&self) -> usize {
         self.hosts.iter().map(|host| host.target.ended()).sum()
     }
 
-    /// Starts the targets that have ended again, each as a new life.
+    /// Restarts the targets that have crashed, each as a new instance.
     async fn restart(&mut self) {
         for host in &self.hosts {
             if host.target.is_there() {
                 continue;
             }
             host.target.restart().await;
-            self.lives += 1;
-            let instance = format!("i{}", self.lives);
+            self.newest_instance += 1;
+            let instance = format!("i{}", self.newest_instance);
             host.heartbeat(&instance, 1, "ready").await;
         }
     }
 
-    /// Sends the request that ends targets once at every node; returns the last answer.
+    /// Sends the poison request once at every node; returns the last answer.
     async fn round(&mut self, round: usize) -> String {
         let mut last = String::new();
         for i in 0..self.hosts.len() {
-            let before = self.ended();
+            let before = self.crash_count();
             let id = format!("fatal-{round}-{i}");
-            last = self.hosts[i].ask("GET", FATAL, &id, "").await;
+            last = self.hosts[i].ask("GET", POISON_PATH, &id, "").await;
             self.restart().await;
-            if self.ended() > before {
-                // What one node knows reaches the others by the store.
+            if self.crash_count() > before {
+                // The evidence of one node reaches the others by way of the store.
                 tokio::time::sleep(Duration::from_millis(500)).await;
             }
         }
@@ -131,43 +136,43 @@
 }
 
 cases! {
-    request_ends_one_target_at_the_most => {
+    request_crashes_at_most_one_target => {
         let fleet = Fleet::start().await;
-        let answer = fleet.hosts[4].ask("GET", FATAL, "once", "").await;
+        let answer = fleet.hosts[4].ask("GET", POISON_PATH, "once", "").await;
         assert_eq!(status(&answer), "502", "{answer}");
-        assert_eq!(fleet.ended(), 1, "by the repeats of one node");
+        assert_eq!(fleet.crash_count(), 1, "targets crashed, with the retries of one node");
     }
 
-    nodes_that_start_anew_hold_back_what_they_held => {
+    restarted_nodes_keep_requests_quarantined => {
         let mut fleet = Fleet::start().await;
-        fleet.until_held().await;
-        // What is told of it has come to rest in the store.
+        fleet.until_quarantined().await;
+        // Waits until the store has the final evidence of all nodes.
         tokio::time::sleep(Duration::from_secs(3)).await;
-        for most in [5, 6] {
-            for host in fleet.hosts.iter_mut().take(most) {
+        for count in [5, 6] {
+            for host in fleet.hosts.iter_mut().take(count) {
                 host.stop().await;
             }
-            for host in fleet.hosts.iter_mut().take(most) {
+            for host in fleet.hosts.iter_mut().take(count) {
                 host.run();
             }
             for host in &fleet.hosts {
                 host.until_ready().await;
             }
-            fleet.check_held(&format!("{most} of 6 nodes started anew")).await;
+            fleet.check_quarantined(&format!("{count} of 6 nodes started anew")).await;
         }
     }
 
-    node_that_the_store_refused_holds_back_what_the_others_do => {
+    node_that_the_store_refused_quarantines_what_its_peers_do => {
         let mut fleet = Fleet::start().await;
         fleet.hosts[4].store.set_own(StoreMode::Refusing);
-        fleet.until_held().await;
+        fleet.until_quarantined().await;
         fleet.hosts[4].store.set_own(StoreMode::Up);
-        fleet.check_held("after the store refused one").await;
+        fleet.check_quarantined("after the store refused one").await;
     }
 
-    operator_sees_what_is_held_back_and_lets_it_go => {
+    operator_sees_quarantined_requests_and_releases_them => {
         let mut fleet = Fleet::start().await;
-        fleet.until_held().await;
+        fleet.until_quarantined().await;
         let held = fleet.hosts[5].held().await;
         let [content] = &held[..] else { panic!("{held:?}") };
         for host in &fleet.hosts {
@@ -176,13 +181,13 @@
         assert_eq!(fleet.hosts[5].let_go("0123").await, "400");
         assert_eq!(fleet.hosts[5].let_go(content).await, "200");
         for host in &fleet.hosts {
-            until("it is let go", async || host.held().await.is_empty()).await;
-            let answer = host.ask("GET", FATAL, "mended", "").await;
+            until("the request is released", async || host.held().await.is_empty()).await;
+            let answer = host.ask("GET", POISON_PATH, "mended", "").await;
             assert_eq!(status(&answer), "200", "{answer}");
         }
     }
 
-    target_that_breaks_off_and_is_there_speaks_against_no_request => {
+    answer_cut_short_by_a_running_target_is_no_evidence => {
         let fleet = Fleet::start().await;
         for host in &fleet.hosts {
             host.target.set(Mode::Breaks);
@@ -198,7 +203,7 @@
         assert_eq!(status(&answer), "200", "{answer}");
     }
 
-    request_that_runs_once_is_refused_as_not_run => {
+    quarantined_request_of_a_once_only_route_is_refused_as_not_run => {
         let mut fleet = Fleet::start().await;
         for i in 0.. {
             let id = format!("once-{i}");
@@ -211,27 +216,27 @@
                 break;
             }
             assert_eq!(status(&answer), "502", "{answer}");
-            assert!(i < MOST, "{i} targets ended");
+            assert!(i < MAX_CRASHES, "{i} targets crashed");
             tokio::time::sleep(Duration::from_millis(500)).await;
         }
-        // Nothing speaks against others of its route.
+        // Other requests of the same route are not affected.
         let host = &fleet.hosts[5];
         let answer = host.ask("POST", "/post/a/other", "other", "x").await;
         assert_eq!(status(&answer), "200", "{answer}");
     }
 
-    request_under_which_targets_end_is_held_back_at_every_node => {
+    request_under_which_targets_crash_is_quarantined_at_every_node => {
         let mut fleet = Fleet::start().await;
         let mut last = String::new();
         for round in 0..ROUNDS {
             last = fleet.round(round).await;
-            let ended = fleet.ended();
-            assert!(ended <= MOST, "{ended} targets ended in {} rounds", round + 1);
+            let crashes = fleet.crash_count();
+            assert!(crashes <= MAX_CRASHES, "{crashes} targets crashed in {} rounds", round + 1);
         }
         assert_eq!(status(&last), "503", "{last}");
-        // Nothing invites its caller back to what will not be served.
+        // No header asks the caller to repeat a request that won't be served.
         assert!(!last.to_lowercase().contains("retry-after"), "{last}");
-        // Others of the same route are served all the while.
+        // Other requests of the same route are still served.
         let answer = fleet.hosts[5].ask("GET", "/get/a/other", "id1", "").await;
         assert_eq!(status(&answer), "200", "{answer}");
     }
