--- a/src/transport/relay/egress.rs
+++ b/src/transport/relay/egress.rs
@@ -1,4 +1,4 @@
-//! Requests of callers on this host, and of its target.
+//! Requests that enter the system at this host: from callers, which include its target.
 
 use std::{
     sync::{
@@ -35,9 +35,9 @@
             KEPT_BODY,
             body::{self, Body, Read, ReadError},
             content, host_of,
-            ingress::{Ingress, Ran, Visit},
-            next::{self, Next},
-            outstanding::{Tried, Watch},
+            ingress::{Delivery, Ingress, RunTime},
+            next::{self, PeerClient},
+            outstanding::{AttemptGuard, AttemptOutcome},
             refused,
             serve::Handler,
         },
@@ -45,36 +45,37 @@
     unit::{Size, Span},
 };
 
-/// When callers are asked to come back while no version is in force.
-const NO_VERSION_AGAIN: Span = Span::from_millis(300);
+/// The `Retry-After` of refusals while no version is in force.
+const NO_VERSION_RETRY_AFTER: Span = Span::from_millis(300);
 
-/// The way of requests out of this host.
+/// Routes requests of callers and sends them to targets here or on other hosts.
 pub struct Egress {
     host: Arc<Host>,
     ingress: Arc<Ingress>,
-    next: Next,
+    peers: PeerClient,
 }
 
-/// A request and what the version in force says about it.
+/// A caller's request with its route and its time limits.
 pub struct Call {
-    /// The request's head, as its target gets it.
+    /// The head of the request, as it is sent to the target.
     pub head: request::Parts,
-    /// Its route.
+    /// The route that matches the request.
     pub route: Arc<Route>,
-    /// The service that is to run it.
+    /// The service whose target is to run the request.
     pub service: Name,
-    /// When it came.
+    /// When the request arrived.
     pub arrived: Instant,
-    /// How likely a run of the target here that is a repeat sent it.
-    pub carried: f64,
-    /// When it should be answered, counted from its caller's first try.
+    /// The probability that the request is a call made by a repeated run of the target on
+    /// this host.
+    pub repeat_chance: f64,
+    /// The due time of the route's objective, counted from the caller's first attempt.
     pub due: Instant,
-    /// When its caller, or its route, has no more use for an answer.
+    /// The earlier of the caller's deadline and the end of the route's timeout.
     pub deadline: Instant,
 }
 
-/// What was tried for a request so far.
-type Tries = tries::Tries<Response<Body>>;
+/// The attempts made for a request so far.
+type Attempts = tries::Tries<Response<Body>>;
 
 impl Call {
     fn request(&self) -> tries::Request<'_> {
@@ -83,7 +84,7 @@
             kind: self.route.kind,
             priority: self.route.priority,
             attempts: self.route.attempts,
-            carried: self.carried,
+            carried: self.repeat_chance,
             due: self.due,
             deadline: self.deadline,
         }
@@ -91,49 +92,49 @@
 }
 
 impl Egress {
-    /// Returns the way out of `host`; requests for its own target go straight to
-    /// `ingress`.
+    /// Returns the egress side of `host`. Requests for the host's own target are passed
+    /// directly to `ingress`.
     pub fn new(host: Arc<Host>, ingress: Arc<Ingress>) -> Arc<Self> {
         Arc::new(Self {
-            next: Next::new(host.clone()),
+            peers: PeerClient::new(host.clone()),
             host,
             ingress,
         })
     }
 
-    /// Returns the handler of callers' requests.
+    /// Returns the handler for requests of callers.
     pub fn handler(self: &Arc<Self>) -> Handler {
         let egress = self.clone();
         Arc::new(move |request| {
             let egress = egress.clone();
-            async move { egress.answer(request).await }.boxed()
+            async move { egress.handle(request).await }.boxed()
         })
     }
 
-    /// Writes down what was sent again for each service.
+    /// Logs the retries of each service that had any, with its retry budget.
     pub fn note_sent_again(&self) {
         let nodes = self.host.nodes();
-        let allowance = self.host.allowance.lock();
-        let all = allowance.all(nodes, Instant::now());
-        for (service, used) in all.filter(|(_, used)| used.further() > 0.0) {
+        let budget = self.host.allowance.lock();
+        let services = budget.all(nodes, Instant::now());
+        for (service, usage) in services.filter(|(_, usage)| usage.further() > 0.0) {
             note!(
                 self.host.journal,
                 Event::SentAgain,
                 service = service,
-                first = used.first,
-                arrived = used.arrived,
-                again = used.again,
-                repeated = used.repeated,
-                carried = format_args!("{:.1}", used.carried),
-                allowed = format_args!("{:.1}", used.allowed),
+                first = usage.first,
+                arrived = usage.arrived,
+                again = usage.again,
+                repeated = usage.repeated,
+                carried = format_args!("{:.1}", usage.carried),
+                allowed = format_args!("{:.1}", usage.allowed),
             );
         }
     }
 
-    /// Closes connections that were unused for long, and forgets nodes that have left
-    /// and routes that are gone.
+    /// Closes idle connections and drops the state of nodes that have left and of routes
+    /// that no longer exist.
     pub fn tidy(&self) {
-        self.next.tidy();
+        self.peers.tidy();
         if let Some(table) = self.host.routes() {
             let mut ages = self.host.ages.lock();
             ages.retain(|route| table.has_route(route));
@@ -146,29 +147,32 @@
             .retain(|node| members.get(node).is_some());
     }
 
-    async fn answer(&self, request: Request<Body>) -> Response<Body> {
+    async fn handle(&self, request: Request<Body>) -> Response<Body> {
         let arrived = Instant::now();
         let (head, incoming) = request.into_parts();
-        let (call, version) = match self.call(head, arrived) {
+        let (call, version) = match self.find_route(head, arrived) {
             Ok(found) => found,
-            Err(refusal) => return refused(&refusal, NO_VERSION_AGAIN.duration() * 3),
+            Err(refusal) => return refused(&refusal, NO_VERSION_RETRY_AFTER.duration() * 3),
         };
-        let body = match self.body(incoming, &call).await {
+        let body = match self.read_body(incoming, &call).await {
             Ok(body) => body,
-            Err(refusal) => return self.end(&call, version, &Tries::default(), Err(refusal)),
+            Err(refusal) => return self.finish(&call, version, &Attempts::default(), Err(refusal)),
         };
-        let mut tries = Tries::default();
-        let result = self.tries(&call, body, &mut tries).await;
+        let mut attempts = Attempts::default();
+        let result = self.run_attempts(&call, body, &mut attempts).await;
         if let Ok(response) = &result {
             self.host.until_room(response.body().length()).await;
         }
-        self.end(&call, version, &tries, result)
+        self.finish(&call, version, &attempts, result)
     }
 
-    /// Finds the route of a request, in the version that is in force now.
-    fn call(&self, head: request::Parts, arrived: Instant) -> Result<(Call, u64), Refusal> {
+    /// Returns the request with its route, and the version in force that the route is from.
+    fn find_route(&self, head: request::Parts, arrived: Instant) -> Result<(Call, u64), Refusal> {
         let Some(table) = self.host.routes() else {
-            return Err(Refusal::not_run("no version is in force", NO_VERSION_AGAIN));
+            return Err(Refusal::not_run(
+                "no version is in force",
+                NO_VERSION_RETRY_AFTER,
+            ));
         };
         let host = host_of(&head);
         let Some(route) = table.find(&host, head.uri.path()).cloned() else {
@@ -186,13 +190,13 @@
             return Err(Refusal::rejected(404, "no route matches"));
         };
         let dialect = &self.host.words.dialect;
-        let left = http::parse(&head.headers, dialect.deadline.as_str());
-        let age = left.map_or(Duration::ZERO, |left| {
-            let left = Duration::from_millis(left);
-            self.host.ages.lock().note(&route.name, left)
+        let remaining = http::parse(&head.headers, dialect.deadline.as_str());
+        let age = remaining.map_or(Duration::ZERO, |remaining| {
+            let remaining = Duration::from_millis(remaining);
+            self.host.ages.lock().note(&route.name, remaining)
         });
-        let left = left.map_or(route.timeout, |left| {
-            Span::from_millis(left).min(route.timeout)
+        let remaining = remaining.map_or(route.timeout, |remaining| {
+            Span::from_millis(remaining).min(route.timeout)
         });
         let due = (arrived + route.objective.duration()).checked_sub(age);
         let service = self.host.split.lock().next(&route);
@@ -201,73 +205,80 @@
             route,
             service,
             arrived,
-            carried: self.host.gate.repeats(),
-            // A clock that began later than that: it is late all the same.
+            repeat_chance: self.host.gate.repeats(),
+            // `None` means that the due time lies before the start of the clock. The
+            // request is late in that case, too.
             due: due.unwrap_or(arrived),
-            deadline: arrived + left.duration(),
+            deadline: arrived + remaining.duration(),
         };
-        // What a caller says of itself is not asked for.
+        // Overwrites any service name that the caller sent; this node knows its own service.
         let caller = HeaderValue::from_str(self.host.service().as_str());
         let caller = caller.expect("names are valid in headers");
         call.head.headers.insert(dialect.caller.clone(), caller);
         Ok((call, table.version))
     }
 
-    async fn body(&self, incoming: Body, call: &Call) -> Result<Read, Refusal> {
+    /// Reads a small body whole, and the start of a larger one.
+    async fn read_body(&self, incoming: Body, call: &Call) -> Result<Read, Refusal> {
         let limits = self.host.limits();
-        let most = limits.body.as_bytes();
-        let too_large = || Refusal::rejected(413, too_large(limits.body));
+        let max_bytes = limits.body.as_bytes();
+        let too_large = || Refusal::rejected(413, too_large_reason(limits.body));
         let length: Option<u64> = http::parse(&call.head.headers, "content-length");
-        if length.is_some_and(|length| length > most) {
+        if length.is_some_and(|length| length > max_bytes) {
             return Err(too_large());
         }
         if length.is_some_and(|length| length > KEPT_BODY as u64) {
             return Ok(Read::Start(Bytes::new(), incoming));
         }
-        let idle = limits.idle_timeout.duration();
-        let left = call.deadline.saturating_duration_since(Instant::now());
-        let kept = usize::try_from(most).unwrap_or(KEPT_BODY).min(KEPT_BODY);
-        match body::read(incoming, kept, idle.min(left)).await {
-            Ok(Read::Start(first, _)) if first.len() as u64 > most => Err(too_large()),
+        let idle_timeout = limits.idle_timeout.duration();
+        let remaining = call.deadline.saturating_duration_since(Instant::now());
+        let buffered = usize::try_from(max_bytes)
+            .unwrap_or(KEPT_BODY)
+            .min(KEPT_BODY);
+        match body::read(incoming, buffered, idle_timeout.min(remaining)).await {
+            Ok(Read::Start(first, _)) if first.len() as u64 > max_bytes => Err(too_large()),
             Ok(read) => Ok(read),
             Err(ReadError::Still) => Err(Refusal::rejected(408, "request body stood still")),
             Err(error @ ReadError::Broken(_)) => Err(Refusal::rejected(400, error.to_string())),
         }
     }
 
-    /// Tries targets until one answers, or nothing more may be tried.
-    async fn tries(
+    /// Tries one target after another until one answers or no further attempt is allowed.
+    async fn run_attempts(
         &self,
         call: &Call,
         body: Read,
-        tries: &mut Tries,
+        attempts: &mut Attempts,
     ) -> Result<Response<Body>, Refusal> {
-        let most = self.host.limits().body;
-        let passed = Arc::new(AtomicBool::new(false));
+        let max_body = self.host.limits().body;
+        let is_exceeded = Arc::new(AtomicBool::new(false));
         let (mut streamed, whole) = match body {
             Read::Whole(bytes) => (None, Some(bytes)),
             Read::Start(first, rest) => {
                 let body = Body::streamed(first, rest, call.deadline);
-                (Some(body.limited(most.as_bytes(), passed.clone())), None)
+                (
+                    Some(body.limited(max_body.as_bytes(), is_exceeded.clone())),
+                    None,
+                )
             }
         };
-        // A longer body is as long as what is kept at the least.
+        // A body that isn't buffered whole has at least the size of the buffer.
         let bytes = whole.as_ref().map_or(KEPT_BODY, Bytes::len);
         let content = content::fingerprint(&call.head, whole.as_deref());
-        while tries.may_ask(&call.request(), Instant::now()) {
-            let is_held = self.host.reviews.is_held(&content);
-            let choice = match is_held {
-                true => self.trial(call, &content, tries),
-                false => self.choose(call, bytes, tries),
+        while attempts.may_ask(&call.request(), Instant::now()) {
+            let is_quarantined = self.host.reviews.is_held(&content);
+            let choice = match is_quarantined {
+                true => self.trial_target(call, &content, attempts),
+                false => self.choose_target(call, bytes, attempts),
             };
             let Some(choice) = choice else {
-                match is_held {
-                    true => tries.note(Refusal::rejected(503, HELD_BACK)),
-                    false => self.note_no_target(call, tries),
+                match is_quarantined {
+                    true => attempts.note(Refusal::rejected(503, HELD_BACK)),
+                    false => self.log_no_target(call, attempts),
                 }
                 break;
             };
-            if !self.may_send(call, tries) {
+            if !self.may_send(call, attempts) {
                 break;
             }
             let body = match &whole {
@@ -277,36 +288,42 @@
                     None => break,
                 },
             };
-            tries.nodes.push(choice.member.node.clone());
-            let tried = self.try_one(call, &choice, body, tries, is_held).await;
-            if tries.arrivals == 0 && tried.has_arrived() {
-                let mut allowance = self.host.allowance.lock();
-                allowance.arrive(&call.service, Instant::now());
+            attempts.nodes.push(choice.member.node.clone());
+            let outcome = self
+                .attempt(call, &choice, body, attempts, is_quarantined)
+                .await;
+            if attempts.arrivals == 0 && outcome.has_arrived() {
+                let mut budget = self.host.allowance.lock();
+                budget.arrive(&call.service, Instant::now());
             }
-            if matches!(tried, Tried::Refused(_)) && passed.load(Ordering::Relaxed) {
-                // Its target has seen a part, so nothing is said of its run.
-                return Err(Refusal::unknown(413, too_large(most)));
+            if matches!(outcome, AttemptOutcome::Refused(_)) && is_exceeded.load(Ordering::Relaxed)
+            {
+                // The target has received a part of the body, so whether the request ran is
+                // unknown.
+                return Err(Refusal::unknown(413, too_large_reason(max_body)));
             }
-            if let Tried::Answered(response) = &tried
+            if let AttemptOutcome::Answered(response) = &outcome
                 && response.body().is_whole()
             {
                 self.host.reviews.note_answer(content);
             }
-            if let Tried::Answered(response) = &tried
+            if let AttemptOutcome::Answered(response) = &outcome
                 && let Some(bytes) = response.body().length()
             {
                 let mut balance = self.host.balance.lock();
                 balance.note_size(&call.route.name, bytes);
             }
-            if let Some(result) = tries.take(call.route.kind, tried.into()) {
+            if let Some(result) = attempts.take(call.route.kind, outcome.into()) {
                 return result;
             }
         }
-        tries.end()
+        attempts.end()
     }
 
-    fn choose(&self, call: &Call, bytes: usize, tries: &Tries) -> Option<Choice> {
-        let wish = Wish {
+    /// Returns the target for the next attempt. During a roll-out, the subsets of targets are
+    /// searched in order of preference.
+    fn choose_target(&self, call: &Call, bytes: usize, attempts: &Attempts) -> Option<Choice> {
+        let criteria = Wish {
             node: &self.host.settings.node,
             route: &call.route.name,
             service: &call.service,
@@ -316,58 +333,64 @@
         };
         let members = self.host.members.read();
         let service = &call.service;
-        let lanes = self
+        let subsets = self
             .host
             .rollouts
-            .lanes(service, &members, tries.nodes.is_empty());
+            .lanes(service, &members, attempts.nodes.is_empty());
         let mut balance = self.host.balance.lock();
-        for lane in lanes.into_iter().flatten() {
-            let may = |member: &Member| {
-                !tries.nodes.contains(&member.node) && lane.admits(member, service)
+        for subset in subsets.into_iter().flatten() {
+            let is_eligible = |member: &Member| {
+                !attempts.nodes.contains(&member.node) && subset.admits(member, service)
             };
-            let choice = balance.choose(&members, wish, may, Instant::now());
+            let choice = balance.choose(&members, criteria, is_eligible, Instant::now());
             if choice.is_some() {
                 return choice;
             }
-            if matches!(lane, Lane::Trial(_)) {
+            if matches!(subset, Lane::Trial(_)) {
                 self.host.rollouts.give_back(service);
             }
         }
         None
     }
 
-    /// Notes how a try ended, for the trials of releases.
-    fn note_try(
+    /// Records the outcome of an attempt as evidence for release roll-outs.
+    fn record_attempt(
         &self,
         call: &Call,
         member: &Member,
-        tried: &Tried,
-        usual: Option<Duration>,
-        ran: Option<Duration>,
+        outcome: &AttemptOutcome,
+        usual_run_time: Option<Duration>,
+        run_time: Option<Duration>,
     ) {
         let target = member.target(&call.service);
-        let answer = match tried {
-            Tried::Answered(response) => Some(Answer {
+        let answer = match outcome {
+            AttemptOutcome::Answered(response) => Some(Answer {
                 route: &call.route.name,
                 is_fault: response.status().is_server_error(),
-                ran: ran.unwrap_or_default(),
-                usual,
+                ran: run_time.unwrap_or_default(),
+                usual: usual_run_time,
             }),
-            // What the serving release breaks off is held against the new one no more than
-            // what it answers badly.
-            Tried::Refused(refused) => refused.is_fault().then(|| Answer {
+            // An aborted run counts as a bad answer of any release. The baseline of the serving
+            // release must include its aborted runs, or the new one would be judged more
+            // strictly.
+            AttemptOutcome::Refused(refused) => refused.is_fault().then(|| Answer {
                 route: &call.route.name,
                 is_fault: true,
-                ran: ran.unwrap_or_default(),
-                usual,
+                ran: run_time.unwrap_or_default(),
+                usual: usual_run_time,
             }),
         };
         let rollouts = &self.host.rollouts;
-        rollouts.note_try(target, &call.service, tried.has_arrived(), answer.as_ref());
+        rollouts.note_try(
+            target,
+            &call.service,
+            outcome.has_arrived(),
+            answer.as_ref(),
+        );
     }
 
-    /// Writes down why there was nobody to choose.
-    fn note_no_target(&self, call: &Call, tries: &Tries) {
+    /// Logs the numbers of known, draining and excluded targets when none can be chosen.
+    fn log_no_target(&self, call: &Call, attempts: &Attempts) {
         let members = self.host.members.read();
         let count = self.host.balance.lock().count(
             &members,
@@ -378,25 +401,25 @@
         note!(
             self.host.journal,
             Event::NoTarget,
-            id = self.id(call),
+            id = self.request_id(call),
             service = call.service,
             known = count.known,
             draining = count.draining,
             passed_over = count.passed_over,
-            tried = tries.nodes.len(),
+            tried = attempts.nodes.len(),
             members_at = self.host.at(Stream::Members).unwrap_or(0),
         );
     }
 
-    /// Returns whether a request may be sent to one more target. What a node
-    /// refused before its target saw it costs nothing.
-    fn may_send(&self, call: &Call, tries: &Tries) -> bool {
+    /// Returns whether a request may be sent to one more target, and takes the cost of a
+    /// retry from the retry budget. A retry is free if no target has seen the request yet.
+    fn may_send(&self, call: &Call, attempts: &Attempts) -> bool {
         let is_allowed = {
-            let mut allowance = self.host.allowance.lock();
+            let mut budget = self.host.allowance.lock();
             let nodes = self.host.nodes();
-            tries.may_send(&call.request(), &mut allowance, nodes, Instant::now())
+            attempts.may_send(&call.request(), &mut budget, nodes, Instant::now())
         };
-        let is_repeat = tries.arrivals > 0 && tries.arrivals < call.route.attempts;
+        let is_repeat = attempts.arrivals > 0 && attempts.arrivals < call.route.attempts;
         if !is_allowed && is_repeat {
             let service = metrics::Service {
                 service: call.service.to_string(),
@@ -406,11 +429,19 @@
         is_allowed
     }
 
-    /// Returns the target here, if a request that is held back is tried again at it now.
-    fn trial(&self, call: &Call, content: &Fingerprint, tries: &Tries) -> Option<Choice> {
-        let may = tries.nodes.is_empty() && call.service == *self.host.service();
+    /// Returns the target on this host, if a trial of a quarantined request may start at it
+    /// now.
+    fn trial_target(
+        &self,
+        call: &Call,
+        content: &Fingerprint,
+        attempts: &Attempts,
+    ) -> Option<Choice> {
+        let is_eligible = attempts.nodes.is_empty() && call.service == *self.host.service();
         let members = self.host.members.read();
-        let member = members.get(&self.host.settings.node).filter(|_| may)?;
+        let member = members
+            .get(&self.host.settings.node)
+            .filter(|_| is_eligible)?;
         if !self.host.reviews.try_again(content) {
             return None;
         }
@@ -423,90 +454,93 @@
         })
     }
 
-    async fn try_one(
+    /// Sends a request to the chosen node and returns how the attempt ended.
+    async fn attempt(
         &self,
         call: &Call,
         choice: &Choice,
         body: Body,
-        tries: &Tries,
+        attempts: &Attempts,
         is_trial: bool,
-    ) -> Tried {
+    ) -> AttemptOutcome {
         let member = &choice.member;
         let since = Instant::now();
-        let mut watch = Watch::start(&self.host, member, &call.route.name, &call.service);
-        let (usual, answer) = {
+        let mut guard = AttemptGuard::start(&self.host, member, &call.route.name, &call.service);
+        let (usual_run_time, answer_size) = {
             let balance = self.host.balance.lock();
             let route = &call.route.name;
             (balance.usual(route), balance.large_answer(route))
         };
-        let arrival = tries.arrival(&call.request(), usual, since);
+        let arrival = attempts.arrival(&call.request(), usual_run_time, since);
         let arrival = match next::is_offered(call, &body) {
             true => tries::offered(arrival),
             false => arrival,
         };
-        let visit = Visit {
+        let delivery = Delivery {
             service: call.service.clone(),
             arrival,
-            answer,
+            answer_size,
             deadline: call.deadline,
             is_trial,
-            is_again: tries.arrivals > 0,
-            faults: (self.host.rollouts.usual(&call.route.name) * 1000.0) as u16,
+            is_repeat: attempts.arrivals > 0,
+            fault_permille: (self.host.rollouts.usual(&call.route.name) * 1000.0) as u16,
         };
         let is_large = body.length().is_none_or(balance::is_large);
-        let tried = if member.node == self.host.settings.node {
-            let delivered = self.ingress.deliver(&visit, &call.head, body).await;
-            let ran = delivered.as_ref().ok().and_then(|r| r.extensions().get());
-            watch.report = Report {
+        let outcome = if member.node == self.host.settings.node {
+            let delivered = self.ingress.deliver(&delivery, &call.head, body).await;
+            let run_time = delivered.as_ref().ok().and_then(|r| r.extensions().get());
+            guard.report = Report {
                 load: Some(self.host.gate.load()),
                 pace: Some(self.host.gate.pace()),
-                ran: ran.map(|Ran(ran)| *ran),
+                ran: run_time.map(|RunTime(run_time)| *run_time),
                 is_large,
             };
             match delivered {
-                Ok(response) => Tried::Answered(response),
-                Err(refused) => Tried::Refused(refused),
+                Ok(response) => AttemptOutcome::Answered(response),
+                Err(refused) => AttemptOutcome::Refused(refused),
             }
         } else {
-            self.next.send(call, member, &visit, body, &mut watch).await
+            self.peers
+                .send(call, member, &delivery, body, &mut guard)
+                .await
         };
-        self.note_try(call, member, &tried, usual, watch.report.ran);
-        watch.finish(&tried, since.elapsed());
-        if let Tried::Refused(refused) = &tried {
+        self.record_attempt(call, member, &outcome, usual_run_time, guard.report.ran);
+        guard.finish(&outcome, since.elapsed());
+        if let AttemptOutcome::Refused(refused) = &outcome {
             note!(
                 self.host.journal,
                 Event::Retried,
-                id = self.id(call),
+                id = self.request_id(call),
                 route = call.route.name,
                 service = call.service,
                 to = member.node,
-                tried = tries.nodes.len(),
+                tried = attempts.nodes.len(),
                 usage = format_args!("{:.2}", choice.usage),
                 candidates = choice.candidates,
                 outcome = refused.refusal.outcome,
-                arrived = refused.arrived,
+                arrived = refused.has_arrived,
                 reason = refused.refusal.reason,
                 took = since.elapsed().as_millis(),
             );
         }
-        tried
+        outcome
     }
 
-    /// Ends a request: with the answer, or with what the caller is told instead.
-    fn end(
+    /// Logs and counts the result of a request, and returns the response for its caller.
+    fn finish(
         &self,
         call: &Call,
         version: u64,
-        tries: &Tries,
+        attempts: &Attempts,
         result: Result<Response<Body>, Refusal>,
     ) -> Response<Body> {
-        let left = call.deadline.saturating_duration_since(Instant::now());
+        let remaining = call.deadline.saturating_duration_since(Instant::now());
         let took = call.arrived.elapsed().as_millis();
-        let id = self.id(call);
+        let id = self.request_id(call);
         let (route, service) = (&call.route.name, &call.service);
         let priority = call.route.priority;
-        let nodes = Nodes(&tries.nodes);
-        self.count(call, &result);
+        let nodes = NodeList(&attempts.nodes);
+        self.count_result(call, &result);
         match result {
             Ok(response) => {
                 let status = response.status().as_u16();
@@ -519,7 +553,7 @@
                     priority = priority,
                     version = version,
                     tries = nodes,
-                    arrivals = tries.arrivals,
+                    arrivals = attempts.arrivals,
                     outcome = Outcome::Answered,
                     status = status,
                     took = took,
@@ -542,19 +576,20 @@
                     priority = priority,
                     version = version,
                     tries = nodes,
-                    arrivals = tries.arrivals,
+                    arrivals = attempts.arrivals,
                     outcome = outcome,
                     status = status,
                     reason = reason,
-                    left = left.as_millis(),
+                    left = remaining.as_millis(),
                     took = took,
                 );
-                refused(&refusal, left)
+                refused(&refusal, remaining)
             }
         }
     }
 
-    fn count(&self, call: &Call, result: &Result<Response<Body>, Refusal>) {
+    /// Counts the result of a request in the metrics.
+    fn count_result(&self, call: &Call, result: &Result<Response<Body>, Refusal>) {
         let (outcome, reason) = match result {
             Ok(_) => (Outcome::Answered, ""),
             Err(refusal) => (refusal.outcome, refusal.reason.as_str()),
@@ -573,15 +608,16 @@
         metrics.latency.get_or_create(&outcome).observe(took);
     }
 
-    fn id<'a>(&self, call: &'a Call) -> &'a str {
+    /// Returns the id that the caller gave the request, or `-`.
+    fn request_id<'a>(&self, call: &'a Call) -> &'a str {
         http::get(&call.head.headers, self.host.words.dialect.id.as_str()).unwrap_or("-")
     }
 }
 
-/// The nodes that were tried, with commas between.
-struct Nodes<'a>(&'a [Node]);
+/// Displays node names, separated by commas.
+struct NodeList<'a>(&'a [Node]);
 
-impl std::fmt::Display for Nodes<'_> {
+impl std::fmt::Display for NodeList<'_> {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         for (i, node) in self.0.iter().enumerate() {
             let comma = if i > 0 { "," } else { "" };
@@ -591,6 +627,6 @@
     }
 }
 
-fn too_large(most: Size) -> String {
-    format!("request body is larger than {most}")
+fn too_large_reason(max: Size) -> String {
+    format!("request body is larger than {max}")
 }
--- a/src/transport/relay/front.rs
+++ b/src/transport/relay/front.rs
@@ -1,10 +1,9 @@
-//! Connections of callers, with several requests under way on each.
+//! HTTP/1.1 connections of callers, with pipelined requests.
 //!
-//! Callers send further requests before the first is answered. hyper takes them
-//! one after the other, so the second waits for the first one's target although
-//! its own is free; here they run beside each other and only the answers keep
-//! the order (docs/DESIGN.md has the figures). A request with a body has its
-//! connection for itself.
+//! Callers send further requests before the first is answered. hyper handles pipelined
+//! requests one after another, so the second waits for the target of the first although its
+//! own is free. Here they run concurrently, and only the responses are put in order
+//! (docs/DESIGN.md has the figures). A request with a body runs alone on its connection.
 
 use std::{
     io,
@@ -34,136 +33,142 @@
     },
 };
 
-/// Requests under way on one connection; more wait in its buffer.
-const AT_ONCE: usize = 16;
+/// The maximum number of requests running on one connection; more wait in its buffer.
+const MAX_PIPELINED: usize = 16;
 
-/// Bytes read ahead of what is under way. Beyond it the caller is made to wait.
-const AHEAD: usize = 64 << 10;
+/// The maximum number of bytes read ahead of the running requests. Beyond it, nothing more is
+/// read, so that the caller must wait.
+const READ_AHEAD_BYTES: usize = 64 << 10;
 
-/// Bytes read at a time: several heads, or a tenth of an upload.
-const READ: usize = 4 << 10;
+/// The size of one read in bytes: several heads, or a tenth of an upload.
+const READ_BYTES: usize = 4 << 10;
 
-/// Pieces of a body that wait to be taken on.
-const PIECES: usize = 4;
+/// The capacity of the channel that passes a request body to its reader, in chunks.
+const QUEUED_CHUNKS: usize = 4;
 
-/// How long bytes that come after a last answer are still taken: closing a
-/// connection with unread bytes resets it, and the answer would be lost.
-const LINGER: Duration = Duration::from_millis(500);
+/// How long bytes are still read after the last response. Closing a connection with unread
+/// bytes resets it, and the caller would lose the response.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long a caller may leave an answer unread.
-const UNREAD: Duration = Duration::from_secs(10);
+/// The maximum time to write a response to a caller that reads slowly or not at all.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What a connection needs of its server.
+/// Serves connections of callers with one handler.
 #[derive(Clone)]
 pub struct Front {
-    /// Answers requests.
+    /// The handler that answers the requests.
     pub handler: Handler,
-    /// The limits.
+    /// Returns the limits of the version in force.
     pub limits: LimitsNow,
-    /// How far the process has come with its end.
+    /// The phase of the process's shutdown.
     pub phase: watch::Receiver<Phase>,
 }
 
-/// An answer, with what its writing depends on.
+/// A response and the properties of its request that determine how it is written.
 struct Answer {
     response: Response<Body>,
     method: Method,
     version: Version,
-    keeps: bool,
+    /// Whether the connection stays open after the response.
+    is_persistent: bool,
 }
 
 type Answers = FuturesOrdered<BoxFuture<'static, Answer>>;
 
-/// A body that is being read.
-struct Feeding {
+/// A request body that is being decoded and passed to the handler.
+struct IncomingBody {
     decoder: Decoder,
-    /// Nothing once nobody reads on; what comes is then passed over.
-    pieces: Option<mpsc::Sender<Bytes>>,
+    /// `None` once the handler reads no further; later chunks are discarded.
+    chunks: Option<mpsc::Sender<Bytes>>,
+    /// The decoded chunk to pass on next. An empty one marks the end of the body.
     next: Option<Bytes>,
 }
 
-/// What a connection waits for, and what it has.
+/// The state of one connection.
 struct Connection {
     front: Front,
+    /// Bytes that were read but not decoded yet.
     bytes: BytesMut,
+    /// The running requests, in the order of their arrival.
     answers: Answers,
-    /// The head of a request with a body, until all before it are answered.
-    held: Option<Head>,
-    feeding: Option<Feeding>,
-    /// The request under way has a body: nothing else is taken up beside it.
-    exclusive: bool,
-    /// No further request is taken.
-    closing: bool,
-    /// When the head that is being read began, or the connection fell idle.
+    /// The head of a request with a body that waits until all requests before it are answered.
+    waiting_head: Option<Head>,
+    incoming_body: Option<IncomingBody>,
+    /// Whether the running request has a body; no other request starts beside it.
+    is_exclusive: bool,
+    /// Whether further requests are ignored, and the connection closes after the last response.
+    is_closing: bool,
+    /// When the first byte of the current head arrived, or the connection became idle.
     since: Instant,
 }
 
-/// Why a connection ends before its time.
-enum End {
-    /// The caller left, or the connection broke.
-    Gone,
-    /// All is done.
+/// Why the loop of a connection ends.
+enum ConnectionEnd {
+    /// The caller disconnected, or the connection failed.
+    Disconnected,
+    /// All responses are written, or the connection was idle for too long.
     Done,
 }
 
-impl From<io::Error> for End {
+impl From<io::Error> for ConnectionEnd {
     fn from(_: io::Error) -> Self {
-        Self::Gone
+        Self::Disconnected
     }
 }
 
 impl Front {
-    /// Serves a connection to its end.
+    /// Serves a connection until it is closed.
     pub async fn serve(&self, stream: TcpStream) {
         let (mut reader, mut writer) = stream.into_split();
         let mut connection = Connection {
             front: self.clone(),
             bytes: BytesMut::new(),
             answers: Answers::new(),
-            held: None,
-            feeding: None,
-            exclusive: false,
-            closing: false,
+            waiting_head: None,
+            incoming_body: None,
+            is_exclusive: false,
+            is_closing: false,
             since: Instant::now(),
         };
-        // Whatever is under way when the caller leaves ends with `connection`.
-        if let Err(End::Done) = connection.run(&mut reader, &mut writer).await {
+        // If the caller disconnects, the running requests are dropped with `connection`.
+        if let Err(ConnectionEnd::Done) = connection.run(&mut reader, &mut writer).await {
             linger(&mut reader, &mut writer).await;
         }
     }
 }
 
 impl Connection {
+    /// Reads requests, starts them and writes their responses until the connection ends.
     async fn run(
         &mut self,
         reader: &mut OwnedReadHalf,
         writer: &mut OwnedWriteHalf,
-    ) -> Result<(), End> {
+    ) -> Result<(), ConnectionEnd> {
         let mut phase = self.front.phase.clone();
         loop {
-            self.take_requests(writer).await?;
-            self.cut_piece();
+            self.start_requests(writer).await?;
+            self.decode_chunk();
             if self.bytes.is_empty() {
                 self.bytes = BytesMut::new();
             }
-            if self.closing && self.answers.is_empty() {
-                return Err(End::Done);
+            if self.is_closing && self.answers.is_empty() {
+                return Err(ConnectionEnd::Done);
             }
             let limits = (self.front.limits)();
-            let (deadline, is_idle) = self.deadline(&limits);
+            let (deadline, is_idle) = self.read_deadline(&limits);
             let has_answers = !self.answers.is_empty();
-            let most = AHEAD.max(limits.head.as_bytes() as usize);
-            let has_room = self.bytes.len() < most && !self.has_piece();
+            let max_bytes = READ_AHEAD_BYTES.max(limits.head.as_bytes() as usize);
+            let has_room = self.bytes.len() < max_bytes && !self.has_chunk();
             let was_empty = self.bytes.is_empty();
-            let is_closing = self.closing;
+            let is_closing = self.is_closing;
             tokio::select! {
                 Some(answer) = self.answers.next(), if has_answers => {
-                    self.write(writer, answer).await?;
+                    self.write_answer(writer, answer).await?;
                 }
-                () = feed(&mut self.feeding), if self.feeding.as_ref().is_some_and(|f| f.next.is_some()) => {}
+                () = pass_chunk(&mut self.incoming_body), if self.incoming_body.as_ref().is_some_and(|body| body.next.is_some()) => {}
                 read = read(reader, &mut self.bytes), if has_room => {
                     if read? == 0 {
-                        return Err(End::Gone);
+                        return Err(ConnectionEnd::Disconnected);
                     }
                     if was_empty {
                         self.since = Instant::now();
@@ -174,38 +179,37 @@
                         self.refuse(StatusCode::REQUEST_TIMEOUT);
                         continue;
                     }
-                    return Err(End::Done);
+                    return Err(ConnectionEnd::Done);
                 }
                 () = until_closing(&mut phase), if !is_closing => {
-                    self.closing = true;
+                    self.is_closing = true;
                 }
             }
         }
     }
 
-    /// Starts the requests that are all there, as far as they may run beside
-    /// each other.
-    async fn take_requests(&mut self, writer: &mut OwnedWriteHalf) -> Result<(), End> {
-        while !self.closing && !self.exclusive && self.answers.len() < AT_ONCE {
+    /// Starts the requests whose heads have been read, as far as they may run concurrently.
+    async fn start_requests(&mut self, writer: &mut OwnedWriteHalf) -> Result<(), ConnectionEnd> {
+        while !self.is_closing && !self.is_exclusive && self.answers.len() < MAX_PIPELINED {
             let Some(head) = self.next_head() else {
                 return Ok(());
             };
             let has_body = head.framing != Framing::Length(0);
             if has_body && !self.answers.is_empty() {
-                self.held = Some(head);
+                self.waiting_head = Some(head);
                 return Ok(());
             }
             if has_body && head.expects {
                 writer.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
             }
-            self.start(head, has_body);
+            self.start_request(head, has_body);
         }
         Ok(())
     }
 
-    /// Returns the next head, if there is one; refuses what can't be one.
+    /// Returns the next head once it is complete; refuses one that is invalid or too large.
     fn next_head(&mut self) -> Option<Head> {
-        if let Some(head) = self.held.take() {
+        if let Some(head) = self.waiting_head.take() {
             return Some(head);
         }
         match codec::head(&mut self.bytes) {
@@ -224,162 +228,174 @@
         }
     }
 
-    fn start(&mut self, head: Head, has_body: bool) {
+    /// Calls the handler for a request and prepares to pass on its body, if it has one.
+    fn start_request(&mut self, head: Head, has_body: bool) {
         let Head {
             request,
             framing,
-            keeps,
+            keeps: is_persistent,
             ..
         } = head;
         let (method, version) = (request.method().clone(), request.version());
         let body = if has_body {
-            let (pieces, taken) = mpsc::channel(PIECES);
-            self.feeding = Some(Feeding {
+            let (sender, receiver) = mpsc::channel(QUEUED_CHUNKS);
+            self.incoming_body = Some(IncomingBody {
                 decoder: Decoder::new(framing),
-                pieces: Some(pieces),
+                chunks: Some(sender),
                 next: None,
             });
-            self.exclusive = true;
+            self.is_exclusive = true;
             let length = match framing {
                 Framing::Length(length) => Some(length),
                 Framing::Chunked => None,
             };
-            Body::fed(taken, length)
+            Body::fed(receiver, length)
         } else {
             Body::whole("")
         };
-        self.closing |= !keeps;
+        self.is_closing |= !is_persistent;
         let answer = (self.front.handler)(request.map(|()| body));
         self.answers.push_back(Box::pin(async move {
             Answer {
                 response: answer.await,
                 method,
                 version,
-                keeps,
+                is_persistent,
             }
         }));
     }
 
-    /// Answers what can't be a request, after all that came before it.
+    /// Responds to invalid input with `status`, after the responses to all requests before it.
     fn refuse(&mut self, status: StatusCode) {
-        self.closing = true;
+        self.is_closing = true;
         self.answers.push_back(Box::pin(async move {
             Answer {
                 response: plain(status),
                 method: Method::GET,
                 version: Version::HTTP_11,
-                keeps: false,
+                is_persistent: false,
             }
         }));
     }
 
-    /// Cuts the next piece of the body that is being read from the bytes.
-    fn cut_piece(&mut self) {
-        let Some(feeding) = &mut self.feeding else {
+    /// Decodes the next chunk of the incoming body from the bytes read so far.
+    fn decode_chunk(&mut self) {
+        let Some(body) = &mut self.incoming_body else {
             return;
         };
-        if feeding.next.is_some() {
+        if body.next.is_some() {
             return;
         }
-        match feeding.decoder.next(&mut self.bytes) {
-            Ok(Piece::Data(bytes)) => feeding.next = Some(bytes),
+        match body.decoder.next(&mut self.bytes) {
+            Ok(Piece::Data(bytes)) => body.next = Some(bytes),
             Ok(Piece::Nothing) => {}
-            // An empty piece is the end.
-            Ok(Piece::End) => feeding.next = Some(Bytes::new()),
-            // Without its end the body counts as broken off.
+            // An empty chunk marks the end.
+            Ok(Piece::End) => body.next = Some(Bytes::new()),
+            // The channel is closed without an empty chunk, so the handler sees an aborted body.
             Err(_) => {
-                self.feeding = None;
-                self.closing = true;
+                self.incoming_body = None;
+                self.is_closing = true;
             }
         }
     }
 
-    fn has_piece(&self) -> bool {
-        self.feeding.as_ref().is_some_and(|f| f.next.is_some())
+    /// Returns whether a decoded chunk waits to be passed on.
+    fn has_chunk(&self) -> bool {
+        self.incoming_body
+            .as_ref()
+            .is_some_and(|body| body.next.is_some())
     }
 
-    /// Returns until when something must come while nothing is under way, and
-    /// whether the connection is merely idle.
-    fn deadline(&self, limits: &Limits) -> (Instant, bool) {
+    /// Returns the instant by which the caller must send something while no request is running,
+    /// and whether the connection is idle, with no head begun.
+    fn read_deadline(&self, limits: &Limits) -> (Instant, bool) {
         let is_idle = self.bytes.is_empty();
-        let span = if is_idle {
+        let timeout = if is_idle {
             limits.idle_timeout
         } else {
             limits.head_timeout
         };
-        (self.since + span.duration(), is_idle)
+        (self.since + timeout.duration(), is_idle)
     }
 
-    async fn write(&mut self, writer: &mut OwnedWriteHalf, answer: Answer) -> Result<(), End> {
-        // An answer before the end of its request's body: nothing can follow it.
-        let is_early = self.feeding.is_some();
-        self.closing |= is_early;
-        self.feeding = None;
-        self.exclusive = false;
+    /// Writes a response and closes the connection if no other request may follow.
+    async fn write_answer(
+        &mut self,
+        writer: &mut OwnedWriteHalf,
+        answer: Answer,
+    ) -> Result<(), ConnectionEnd> {
+        // After a response that precedes the end of its request's body, the connection can't be
+        // reused.
+        let is_early = self.incoming_body.is_some();
+        self.is_closing |= is_early;
+        self.incoming_body = None;
+        self.is_exclusive = false;
         self.since = Instant::now();
-        let is_last = self.closing && self.answers.is_empty();
-        let keeps = answer.keeps && !is_last;
-        let written = tokio::time::timeout(UNREAD, write(writer, answer, keeps));
+        let is_last = self.is_closing && self.answers.is_empty();
+        let is_persistent = answer.is_persistent && !is_last;
+        let written =
+            tokio::time::timeout(WRITE_TIMEOUT, write_response(writer, answer, is_persistent));
         match written.await {
-            Ok(Ok(Ending::Close)) => Err(End::Done),
+            Ok(Ok(Ending::Close)) => Err(ConnectionEnd::Done),
             Ok(Ok(_)) => Ok(()),
-            Ok(Err(_)) | Err(_) => Err(End::Gone),
+            Ok(Err(_)) | Err(_) => Err(ConnectionEnd::Disconnected),
         }
     }
 }
 
+/// Waits until the process closes its connections.
 async fn until_closing(phase: &mut watch::Receiver<Phase>) {
-    // An error means that the process is gone, which is a close too.
+    // An error means that the sender was dropped at the end of the process.
     drop(phase.wait_for(|phase| *phase == Phase::Closing).await);
 }
 
-/// Gives the next piece to whoever reads the body.
+/// Passes the next chunk of a body to its reader.
 ///
-/// Each call takes the piece away, read or not: were it offered again to nobody,
-/// the connection would turn in place without ever yielding its thread.
-async fn feed(feeding: &mut Option<Feeding>) {
-    let Some(held) = feeding else { return };
-    let is_read_on = match (&held.pieces, &held.next) {
-        (Some(pieces), Some(piece)) => send(pieces, piece).await,
+/// Each call removes the chunk, even if there is no reader any more. Otherwise the loop of the
+/// connection would retry it forever without yielding its thread.
+async fn pass_chunk(incoming_body: &mut Option<IncomingBody>) {
+    let Some(body) = incoming_body else { return };
+    let has_reader = match (&body.chunks, &body.next) {
+        (Some(chunks), Some(chunk)) => send_chunk(chunks, chunk).await,
         _ => false,
     };
-    if !is_read_on {
-        // The body's reader needs no more, or has given up.
-        held.pieces = None;
+    if !has_reader {
+        // The reader has dropped its end of the channel.
+        body.chunks = None;
     }
-    let is_end = held.next.take().is_some_and(|piece| piece.is_empty());
+    let is_end = body.next.take().is_some_and(|chunk| chunk.is_empty());
     if is_end {
-        *feeding = None;
+        *incoming_body = None;
     }
 }
 
-/// Sends a piece once there is room; returns whether anybody is there to read it.
-async fn send(pieces: &mpsc::Sender<Bytes>, piece: &Bytes) -> bool {
-    let Ok(room) = pieces.reserve().await else {
+/// Sends a chunk once the channel has room; returns whether the channel still has a reader.
+async fn send_chunk(chunks: &mpsc::Sender<Bytes>, chunk: &Bytes) -> bool {
+    let Ok(permit) = chunks.reserve().await else {
         return false;
     };
-    room.send(piece.clone());
+    permit.send(chunk.clone());
     true
 }
 
-/// Reads what has come. Room for it is made only then: a connection that waits,
-/// of which there are a thousand at times, holds no buffer.
+/// Appends the bytes that have arrived to `bytes`. Memory is reserved only once the socket is
+/// readable, because up to a thousand connections wait at a time and should hold no buffer.
 async fn read(reader: &mut OwnedReadHalf, bytes: &mut BytesMut) -> io::Result<usize> {
     loop {
         reader.readable().await?;
-        bytes.reserve(READ);
+        bytes.reserve(READ_BYTES);
         match reader.try_read_buf(bytes) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-            done => return done,
+            result => return result,
         }
     }
 }
 
-/// Writes an answer: small ones with one call to the system.
-async fn write(
+/// Writes a response; a small one takes a single system call.
+async fn write_response(
     writer: &mut OwnedWriteHalf,
     answer: Answer,
-    keeps: bool,
+    is_persistent: bool,
 ) -> Result<Ending, super::body::Fault> {
     let Answer {
         response,
@@ -387,8 +403,8 @@
         version,
         ..
     } = answer;
-    let mut out = BytesMut::with_capacity(READ);
-    let ending = codec::write_head(&response, &method, version, keeps, &mut out);
+    let mut out = BytesMut::with_capacity(READ_BYTES);
+    let ending = codec::write_head(&response, &method, version, is_persistent, &mut out);
     let has_body = method != Method::HEAD && codec::may_have_body(response.status());
     let mut body = response.into_body();
     while has_body && let Some(frame) = body.frame().await {
@@ -402,7 +418,7 @@
         if ending == Ending::Chunks {
             out.extend_from_slice(b"\r\n");
         }
-        if out.len() >= READ {
+        if out.len() >= READ_BYTES {
             writer.write_all(&out).await?;
             out.clear();
         }
@@ -414,17 +430,17 @@
     Ok(ending)
 }
 
-/// Closes a connection so that its last answer is not lost.
+/// Closes a connection so that the caller still receives the last response.
 async fn linger(reader: &mut OwnedReadHalf, writer: &mut OwnedWriteHalf) {
     if writer.shutdown().await.is_err() {
         return;
     }
-    let mut bytes = BytesMut::with_capacity(READ);
+    let mut bytes = BytesMut::with_capacity(READ_BYTES);
     let drain = async {
         while matches!(read(reader, &mut bytes).await, Ok(count) if count > 0) {
             bytes.clear();
         }
     };
-    // Whoever goes on sending is cut off.
-    let _ = tokio::time::timeout(LINGER, drain).await;
+    // A caller that still sends after the timeout is disconnected.
+    let _ = tokio::time::timeout(LINGER_TIMEOUT, drain).await;
 }
--- a/src/transport/relay/ingress.rs
+++ b/src/transport/relay/ingress.rs
@@ -1,4 +1,4 @@
-//! Requests for the target on this host.
+//! Requests for the target on this host, from its own egress side and from peers.
 
 use std::{
     sync::Arc,
@@ -39,9 +39,9 @@
     unit::Span,
 };
 
-/// How the target's connections are made and kept. It is on this host, where a
-/// connection takes less than a millisecond; targets keep unused ones for 10 s,
-/// and say so where they differ.
+/// Settings of the connections to the target. The target is on this host, where connecting
+/// takes less than a millisecond. Targets keep idle connections for 10 s; one with another
+/// timeout announces it in a `Keep-Alive` header.
 const POOL: Settings = Settings {
     connect: Duration::from_millis(300),
     keep: Duration::from_secs(8),
@@ -49,71 +49,75 @@
     total: 64,
 };
 
-/// The reason of a refusal where the host's link carries too many large answers.
+/// The reason of a refusal because the host's link can't carry the large answer in time.
 pub const LINK_BUSY: &str = "the link has no room for the answer";
 
-/// The reason of a refusal where the host's link can't carry the body in time.
+/// The reason of a refusal because the host's link can't carry the request body in time.
 pub const LINK_FULL: &str = "the link has no room for the body";
 
-/// The reason of a refusal by a node that is not the one that was meant.
+/// The reason of a refusal by a node other than the one that the request is addressed to.
 pub const OTHER_NODE: &str = "another node has this address";
 
-/// The reason of a refusal where the target broke off and is there.
-const BROKE_OFF: &str = "target broke off";
+/// The reason of a refusal because a running target closed the connection during a
+/// request.
+const TARGET_BROKE_OFF: &str = "target broke off";
 
-/// The reason of a refusal where the body did, which is no fault of the target.
+/// The reason of a refusal because the request body ended early, which is no fault of the
+/// target.
 const BODY_BROKE_OFF: &str = "request body broke off";
 
-/// The reason of a refusal where the target ended.
-pub const TARGET_ENDED: &str = "target ended";
+/// The reason of a refusal because the target's process terminated during the request.
+pub const TARGET_CRASHED: &str = "target ended";
 
-/// The reason of a refusal where the calls of one more repeat may not be made.
-pub const CALLS_SPENT: &str = "no allowance is left for the calls of a repeat";
+/// The reason of a refusal because the retry budget has no room for the calls that one more
+/// repeat would make.
+pub const CALL_BUDGET_SPENT: &str = "no allowance is left for the calls of a repeat";
 
-/// When callers are asked to come back then: their next try is a first send, so it needs no
-/// allowance.
-const CALLS_AGAIN: Span = Span::from_millis(200);
+/// The `Retry-After` of refusals with [`CALL_BUDGET_SPENT`]. The caller's next attempt counts
+/// as a first send, which needs no retry budget.
+const CALLS_RETRY_AFTER: Span = Span::from_millis(200);
 
-/// What is asked for the target here.
-pub struct Visit {
-    /// The service that is meant.
+/// The terms on which a request is delivered to the target on this host.
+pub struct Delivery {
+    /// The service that the request is for.
     pub service: Name,
-    /// What it brings to the gate.
+    /// The priority and time limits for the gate's queue.
     pub arrival: Arrival,
-    /// How large its answer usually is, in bytes, if it is a large one; else 0.
-    pub answer: usize,
-    /// When an answer is of no more use.
+    /// The usual size of the answer in bytes, if the answer is usually large; otherwise 0.
+    pub answer_size: usize,
+    /// When the caller has no more use for an answer.
     pub deadline: Instant,
-    /// Whether it is held back and tried again.
+    /// Whether this is the trial of a quarantined request.
     pub is_trial: bool,
-    /// How many of 1,000 answers on its route its sender sees to be bad.
-    pub faults: u16,
-    /// Whether a target has seen it before.
-    pub is_again: bool,
+    /// How many of 1,000 answers on the request's route are bad, as observed by the sender.
+    pub fault_permille: u16,
+    /// Whether a target has seen the request before.
+    pub is_repeat: bool,
 }
 
-/// Why there is no answer of the target.
+/// An attempt that failed without an answer of the target.
 pub struct Refused {
-    /// What became of the request.
+    /// What is known about the request, and why it failed.
     pub refusal: Refusal,
-    /// Whether the target itself has seen the request.
-    pub arrived: bool,
+    /// Whether the target may have seen the request.
+    pub has_arrived: bool,
 }
 
-/// How long the target ran a request, on its answer. What the way took and the wait for
-/// room are no part of it.
+/// How long the target ran a request, as an extension of its response. Excludes the round trip
+/// between nodes and the wait at the gate.
 #[derive(Clone, Copy, Debug)]
-pub struct Ran(pub Duration);
+pub struct RunTime(pub Duration);
 
-/// A request that the target here runs.
+/// A request that the target on this host is running.
 struct Run<'a> {
     head: &'a request::Parts,
+    /// The fingerprint by which quarantine identifies the request.
     content: Fingerprint,
     since: Instant,
     deadline: Instant,
 }
 
-/// The way to the target on this host.
+/// Delivers requests to the target on this host.
 pub struct Ingress {
     host: Arc<Host>,
     inflow: Inflow,
@@ -121,22 +125,24 @@
 }
 
 impl Refused {
-    fn before(refusal: Refusal) -> Self {
+    /// Returns a refusal of a request that the target has not seen.
+    fn before_arrival(refusal: Refusal) -> Self {
         Self {
             refusal,
-            arrived: false,
+            has_arrived: false,
         }
     }
 
-    fn after(refusal: Refusal) -> Self {
+    /// Returns a refusal of a request that the target may have seen.
+    fn after_arrival(refusal: Refusal) -> Self {
         Self {
             refusal,
-            arrived: true,
+            has_arrived: true,
         }
     }
 
-    /// Returns whether the target, or the way to it, broke off what may have run, or its
-    /// answer was none to this request.
+    /// Returns whether a request that may have run failed because the target or the connection
+    /// to it broke off, or because the response was invalid for this request.
     pub fn is_fault(&self) -> bool {
         let Refusal {
             outcome,
@@ -144,12 +150,15 @@
             reason,
             ..
         } = &self.refusal;
-        self.arrived && *outcome == Outcome::Unknown && *status == 502 && reason != BODY_BROKE_OFF
+        self.has_arrived
+            && *outcome == Outcome::Unknown
+            && *status == 502
+            && reason != BODY_BROKE_OFF
     }
 }
 
 impl Ingress {
-    /// Returns the way to the target of `host`.
+    /// Returns the ingress side of `host`, with no connections yet.
     pub fn new(host: Arc<Host>) -> Arc<Self> {
         Arc::new(Self {
             inflow: Inflow::new(host.settings.bandwidth()),
@@ -158,164 +167,182 @@
         })
     }
 
-    /// Returns the handler of requests from other nodes.
+    /// Returns the handler for requests from peers.
     pub fn handler(self: &Arc<Self>) -> Handler {
         let ingress = self.clone();
         Arc::new(move |request| {
             let ingress = ingress.clone();
-            async move { ingress.answer(request).await }.boxed()
+            async move { ingress.handle(request).await }.boxed()
         })
     }
 
-    /// Closes connections to the target that were unused for long.
+    /// Closes idle connections to the target.
     pub fn tidy(&self) {
         self.pool.tidy();
     }
 
-    /// Gives a request to the target, once the gate has room. What of the body has
-    /// not come yet is asked for only then.
+    /// Sends a request to the target once the gate admits it, and returns the response. Except
+    /// for a large offered body, the rest of the request body is read only after that.
     ///
     /// # Errors
     ///
-    /// Why there is no answer of the target, and whether it saw the request.
+    /// If the request is refused or fails; the error tells whether the target has seen it.
     pub async fn deliver(
         &self,
-        visit: &Visit,
+        delivery: &Delivery,
         head: &request::Parts,
         body: Body,
     ) -> Result<Response<Body>, Refused> {
-        if visit.service != *self.host.service() {
+        if delivery.service != *self.host.service() {
             let refusal = Refusal::not_run(OTHER_NODE, Span::from_millis(0));
-            return Err(Refused::before(refusal));
+            return Err(Refused::before_arrival(refusal));
         }
         if here::standing(&self.host) == Standing::Barred {
-            // Its release is not ordered, or was taken back, or it fails on trial.
-            return Err(Refused::before(gate::no_target()));
+            // The target's release is not ordered, was rolled back, or fails as a canary.
+            return Err(Refused::before_arrival(gate::no_target()));
         }
         let id = head.headers.get(&self.host.words.dialect.id);
         let since = Instant::now();
-        self.carries(visit).map_err(Refused::before)?;
-        let leave = self.leave(visit).map_err(Refused::before)?;
-        let body = self.body_first(visit, head, body).await?;
-        let entered = self.host.gate.enter(visit.arrival).await;
-        self.note(id, visit, since, &entered);
-        let mut permit = entered.map_err(Refused::before)?;
-        let body = self.body(visit, head, body).await?;
+        self.check_call_budget(delivery)
+            .map_err(Refused::before_arrival)?;
+        let reservation = self
+            .reserve_answer(delivery)
+            .map_err(Refused::before_arrival)?;
+        let body = self.read_large_body(delivery, head, body).await?;
+        let admission = self.host.gate.enter(delivery.arrival).await;
+        self.log_admission(id, delivery, since, &admission);
+        let mut permit = admission.map_err(Refused::before_arrival)?;
+        let body = self.read_body(delivery, head, body).await?;
         let run = Run {
             head,
             content: content::fingerprint(head, body.known()),
             since: Instant::now(),
-            deadline: visit.deadline,
+            deadline: delivery.deadline,
         };
-        // Whoever sent it may not have heard yet that targets end under it.
-        if !visit.is_trial && self.host.reviews.is_held(&run.content) {
-            return Err(Refused::before(Refusal::rejected(503, HELD_BACK)));
+        // The sender may not know yet that targets crash under this request.
+        if !delivery.is_trial && self.host.reviews.is_held(&run.content) {
+            return Err(Refused::before_arrival(Refusal::rejected(503, HELD_BACK)));
         }
-        permit.begin(visit.is_again);
-        let ended = self.run(visit, permit, &run, body).await;
-        let ran = run.since.elapsed();
-        if let Some(is_fault) = is_fault(&ended) {
-            self.weigh(visit, head, is_fault, ran);
+        permit.begin(delivery.is_repeat);
+        let result = self.run(delivery, permit, &run, body).await;
+        let run_time = run.since.elapsed();
+        if let Some(is_fault) = is_fault(&result) {
+            self.assess_answer(delivery, head, is_fault, run_time);
         }
-        let mut response = ended?;
+        let mut response = result?;
         if response.status().is_success() {
-            if let Some(usual) = visit.arrival.usual {
-                self.host.gate.note_run(ran, usual);
+            if let Some(usual) = delivery.arrival.usual {
+                self.host.gate.note_run(run_time, usual);
             }
-            response.extensions_mut().insert(Ran(ran));
-            if let Some(leave) = leave {
-                response.extensions_mut().insert(leave);
+            response.extensions_mut().insert(RunTime(run_time));
+            if let Some(reservation) = reservation {
+                response.extensions_mut().insert(reservation);
             }
         }
         Ok(response)
     }
 
-    /// Lets the target run a request.
+    /// Sends a request to the target and returns its checked response.
     async fn run(
         &self,
-        visit: &Visit,
+        delivery: &Delivery,
         permit: Permit,
         run: &Run<'_>,
         body: Body,
     ) -> Result<Response<Body>, Refused> {
-        let request = self.request(visit, &permit, run.head, body);
+        let request = self.target_request(delivery, &permit, run.head, body);
         let address = permit.target.address;
-        let exchange = match self.pool.send(address, request, visit.deadline).await {
+        let exchange = match self.pool.send(address, request, delivery.deadline).await {
             Ok(exchange) => exchange,
-            Err(failure) => return Err(self.failed(&permit, run, &failure).await),
+            Err(failure) => return Err(self.refuse_failure(&permit, run, &failure).await),
         };
         if exchange.response.status() == StatusCode::MISDIRECTED_REQUEST {
-            self.doubt(&permit, "another instance answers");
+            self.mark_unreachable(&permit, "another instance answers");
         }
         let id = run.head.headers.get(&self.host.words.dialect.id);
-        self.check(id, &exchange.response)?;
-        self.pass(visit, permit, run, exchange).await
+        self.check_response(id, &exchange.response)?;
+        self.relay_response(delivery, permit, run, exchange).await
     }
 
-    /// Refuses a repeat whose calls would go beyond what may come again to the services that
-    /// its run calls.
-    fn carries(&self, visit: &Visit) -> Result<(), Refusal> {
+    /// Refuses a repeat if the retry budget of a service that its run calls has no room for
+    /// the repeated calls.
+    fn check_call_budget(&self, delivery: &Delivery) -> Result<(), Refusal> {
         let nodes = self.host.nodes();
-        let may = || self.host.allowance.lock().carries(nodes, Instant::now());
-        match !visit.is_again || may() {
+        let has_budget = || self.host.allowance.lock().carries(nodes, Instant::now());
+        match !delivery.is_repeat || has_budget() {
             true => Ok(()),
-            false => Err(Refusal::not_run(CALLS_SPENT, CALLS_AGAIN)),
+            false => Err(Refusal::not_run(CALL_BUDGET_SPENT, CALLS_RETRY_AFTER)),
         }
     }
 
-    /// Weighs an answer of the target, where its release is on trial.
-    fn weigh(&self, visit: &Visit, head: &request::Parts, is_fault: bool, ran: Duration) {
-        if !self.host.rollouts.is_trying(&visit.service) {
+    /// Assesses an answer of the target if a roll-out of its service is under evaluation.
+    fn assess_answer(
+        &self,
+        delivery: &Delivery,
+        head: &request::Parts,
+        is_fault: bool,
+        run_time: Duration,
+    ) {
+        if !self.host.rollouts.is_trying(&delivery.service) {
             return;
         }
         let routes = self.host.routes();
-        let found = routes
+        let route = routes
             .as_ref()
             .and_then(|routes| routes.find(&host_of(head), head.uri.path()));
-        let Some(route) = found else { return };
+        let Some(route) = route else { return };
         let answer = Answer {
             route: &route.name,
             is_fault,
-            ran,
-            usual: visit.arrival.usual,
+            ran: run_time,
+            usual: delivery.arrival.usual,
         };
-        here::weigh(&self.host, &answer, f64::from(visit.faults) / 1000.0);
+        here::weigh(
+            &self.host,
+            &answer,
+            f64::from(delivery.fault_permille) / 1000.0,
+        );
     }
 
-    /// Counts a large answer in, if the link can carry it in time behind those that are
-    /// under way. The target would run in vain otherwise.
-    fn leave(&self, visit: &Visit) -> Result<Option<Arc<Counted>>, Refusal> {
-        if visit.answer == 0 {
+    /// Reserves the link for a large answer, if the link can carry it in time after the
+    /// answers reserved before. Otherwise the target would run in vain.
+    fn reserve_answer(&self, delivery: &Delivery) -> Result<Option<Arc<Counted>>, Refusal> {
+        if delivery.answer_size == 0 {
             return Ok(None);
         }
-        let spare = visit.arrival.due.saturating_duration_since(Instant::now());
-        // Of a late one as much as its run takes: with more, links of 10 Mbit/s fill with
-        // answers that nobody waits for any more.
-        let run = visit.arrival.usual.unwrap_or_default();
+        let slack = delivery
+            .arrival
+            .due
+            .saturating_duration_since(Instant::now());
+        // The answer to a late request may take as long as its run. With more, links of
+        // 10 Mbit/s fill with answers that no caller waits for any more.
+        let run_time = delivery.arrival.usual.unwrap_or_default();
         let outflow = &self.host.outflow;
-        let leave = outflow.count_in(visit.answer, spare.max(run));
-        let refused = |wait| Refusal::not_run(LINK_BUSY, Span::of(wait));
-        leave.map(|leave| Some(Arc::new(leave))).map_err(refused)
+        let reservation = outflow.count_in(delivery.answer_size, slack.max(run_time));
+        let refusal = |wait| Refusal::not_run(LINK_BUSY, Span::of(wait));
+        reservation
+            .map(|reservation| Some(Arc::new(reservation)))
+            .map_err(refusal)
     }
 
-    /// Writes down what the gate decided.
-    fn note(
+    /// Logs whether the gate admitted a request.
+    fn log_admission(
         &self,
         id: Option<&HeaderValue>,
-        visit: &Visit,
+        delivery: &Delivery,
         since: Instant,
-        entered: &Result<Permit, Refusal>,
+        admission: &Result<Permit, Refusal>,
     ) {
         let id = id.and_then(|id| id.to_str().ok()).unwrap_or("-");
         let load = self.host.gate.load();
         let waited = since.elapsed().as_millis();
-        let priority = visit.arrival.priority;
-        match entered {
+        let priority = delivery.arrival.priority;
+        match admission {
             Ok(permit) => note!(
                 self.host.journal,
                 Event::Admitted,
                 id = id,
-                service = visit.service,
+                service = delivery.service,
                 priority = priority,
                 instance = permit.target.instance,
                 load = load,
@@ -325,26 +352,27 @@
                 self.host.journal,
                 Event::Shed,
                 id = id,
-                service = visit.service,
+                service = delivery.service,
                 priority = priority,
                 load = load,
                 waited = waited,
-                patience = visit.arrival.patience.as_millis(),
-                due = visit
+                patience = delivery.arrival.patience.as_millis(),
+                due = delivery
                     .arrival
                     .due
                     .saturating_duration_since(since)
                     .as_millis(),
-                usual = visit.arrival.usual.unwrap_or_default().as_millis(),
+                usual = delivery.arrival.usual.unwrap_or_default().as_millis(),
                 turn = self.host.gate.turn().as_millis(),
                 reason = refusal.reason,
             ),
         }
     }
 
-    fn request(
+    /// Returns the request as it is sent to the target.
+    fn target_request(
         &self,
-        visit: &Visit,
+        delivery: &Delivery,
         permit: &Permit,
         head: &request::Parts,
         body: Body,
@@ -355,46 +383,49 @@
         *request.uri_mut() = origin_form(&head.uri);
         *request.headers_mut() = onward(&head.headers);
         let headers = request.headers_mut();
-        let left = visit.deadline.saturating_duration_since(Instant::now());
+        let remaining = delivery.deadline.saturating_duration_since(Instant::now());
         headers.insert(
             dialect.deadline.clone(),
-            HeaderValue::from(left.as_millis() as u64),
+            HeaderValue::from(remaining.as_millis() as u64),
         );
-        // An instance is a word of a header's own alphabet in every heartbeat
-        // that was taken; without one the target can't be told from another.
+        // The instance id of every accepted heartbeat is a valid header value. Without this
+        // header, another instance at the same address would not be noticed.
         if let Ok(instance) = HeaderValue::from_str(permit.target.instance.id()) {
             headers.insert(dialect.expect.clone(), instance);
         }
         request
     }
 
-    async fn failed(&self, permit: &Permit, run: &Run<'_>, failure: &Failure) -> Refused {
+    /// Returns the refusal for a request that the target did not answer.
+    async fn refuse_failure(&self, permit: &Permit, run: &Run<'_>, failure: &Failure) -> Refused {
         match failure {
             Failure::NotSent(_) => {
-                self.doubt(permit, failure);
-                Refused::before(Refusal::not_run(NO_TARGET, Span::from_millis(100)))
+                self.mark_unreachable(permit, failure);
+                Refused::before_arrival(Refusal::not_run(NO_TARGET, Span::from_millis(100)))
             }
-            // The body was its caller's to give.
+            // The caller failed to send the whole body.
             Failure::Broken(error) if error.is_user() => {
-                Refused::after(Refusal::unknown(502, BODY_BROKE_OFF))
-            }
-            Failure::Broken(_) => {
-                Refused::after(Refusal::unknown(502, self.broken(permit, run).await))
+                Refused::after_arrival(Refusal::unknown(502, BODY_BROKE_OFF))
             }
+            Failure::Broken(_) => Refused::after_arrival(Refusal::unknown(
+                502,
+                self.disconnect_reason(permit, run).await,
+            )),
             Failure::TimedOut | Failure::Untaken => {
-                Refused::after(Refusal::unknown(504, "target did not answer in time"))
+                Refused::after_arrival(Refusal::unknown(504, "target did not answer in time"))
             }
         }
     }
 
-    /// Finds out why a connection broke under a request; returns that.
+    /// Returns the reason why a connection broke during a request: the target crashed, or
+    /// closed just this connection.
     ///
-    /// A target that ends breaks off all that it runs at once, and nothing listens at its
-    /// address any more; one that is there may break off a single answer.
-    async fn broken(&self, permit: &Permit, run: &Run<'_>) -> &'static str {
+    /// When a target's process terminates, all of its connections break at once and nothing
+    /// listens at its address any more. A running target may break off a single response.
+    async fn disconnect_reason(&self, permit: &Permit, run: &Run<'_>) -> &'static str {
         let target = &permit.target;
         if !self.pool.is_closed(target.address, run.deadline).await {
-            return BROKE_OFF;
+            return TARGET_BROKE_OFF;
         }
         let dialect = &self.host.words.dialect;
         self.host.reviews.note_end(&target.instance, run.content);
@@ -406,12 +437,12 @@
             content = run.content,
             ran = run.since.elapsed().as_millis(),
         );
-        self.doubt(permit, TARGET_ENDED);
-        TARGET_ENDED
+        self.mark_unreachable(permit, TARGET_CRASHED);
+        TARGET_CRASHED
     }
 
-    /// Closes the gate until the target is heard of again.
-    fn doubt(&self, permit: &Permit, reason: impl std::fmt::Display) {
+    /// Marks the target as unreachable and closes the gate until its next heartbeat.
+    fn mark_unreachable(&self, permit: &Permit, reason: impl std::fmt::Display) {
         let instance = &permit.target.instance;
         if self.host.local.lock().doubt(instance) {
             self.host.set_gate();
@@ -424,25 +455,30 @@
         }
     }
 
-    /// Refuses an answer that is not the target's own to this request.
-    fn check(&self, id: Option<&HeaderValue>, response: &Response<Body>) -> Result<(), Refused> {
+    /// Refuses a response that does not belong to this request, reports that the request has
+    /// not run, lacks the proof of the target, or is encoded.
+    fn check_response(
+        &self,
+        id: Option<&HeaderValue>,
+        response: &Response<Body>,
+    ) -> Result<(), Refused> {
         let dialect = &self.host.words.dialect;
         let headers = response.headers();
         let echoed = headers.get(&dialect.id);
         let is_not_run =
             headers.contains_key(&dialect.not_run) || response.status().as_u16() == 421;
-        let is_ours = match (id, echoed) {
+        let is_matching = match (id, echoed) {
             (Some(id), Some(echoed)) => id == echoed,
             (Some(_), None) => is_not_run,
             (None, _) => true,
         };
-        let unknown = |why| Err(Refused::after(Refusal::unknown(502, why)));
-        if !is_ours {
+        let unknown = |reason| Err(Refused::after_arrival(Refusal::unknown(502, reason)));
+        if !is_matching {
             return unknown("target answered another request");
         }
         if is_not_run {
             let refusal = Refusal::not_run("target shed the request", Span::from_millis(200));
-            return Err(Refused::after(refusal));
+            return Err(Refused::after_arrival(refusal));
         }
         let is_success = response.status().is_success();
         if is_success && !headers.contains_key(&dialect.proof) {
@@ -454,11 +490,11 @@
         Ok(())
     }
 
-    /// Passes the answer on: whole if it is small, so that one that ends early
-    /// is never begun.
-    async fn pass(
+    /// Returns the response to send on. A small body is read whole first, so that a response
+    /// that breaks off can still be refused.
+    async fn relay_response(
         &self,
-        visit: &Visit,
+        delivery: &Delivery,
         permit: Permit,
         run: &Run<'_>,
         exchange: Exchange,
@@ -468,16 +504,19 @@
             connection,
         } = exchange;
         let (head, incoming) = response.into_parts();
-        let left = visit.deadline.saturating_duration_since(Instant::now());
-        let read = body::read(incoming, KEPT_BODY, left).await;
+        let remaining = delivery.deadline.saturating_duration_since(Instant::now());
+        let read = body::read(incoming, KEPT_BODY, remaining).await;
         let read = match read {
             Ok(read) => read,
             Err(error @ body::ReadError::Still) => {
-                return Err(Refused::after(Refusal::unknown(504, error.to_string())));
+                return Err(Refused::after_arrival(Refusal::unknown(
+                    504,
+                    error.to_string(),
+                )));
             }
             Err(body::ReadError::Broken(_)) => {
-                let why = self.broken(&permit, run).await;
-                return Err(Refused::after(Refusal::unknown(502, why)));
+                let reason = self.disconnect_reason(&permit, run).await;
+                return Err(Refused::after_arrival(Refusal::unknown(502, reason)));
             }
         };
         let body = match read {
@@ -487,7 +526,7 @@
                 Body::whole(bytes)
             }
             Read::Start(first, rest) => {
-                Body::streamed(first, rest, visit.deadline).holding((permit, connection))
+                Body::streamed(first, rest, delivery.deadline).holding((permit, connection))
             }
         };
         let mut response = Response::new(body);
@@ -496,38 +535,45 @@
         Ok(response)
     }
 
-    /// Answers a request of another node.
-    async fn answer(&self, request: Request<Body>) -> Response<Body> {
+    /// Answers a request of a peer.
+    async fn handle(&self, request: Request<Body>) -> Response<Body> {
         let (head, incoming) = request.into_parts();
-        let result = match self.visit(&head) {
-            Ok(visit) => self.deliver(&visit, &head, incoming).await,
-            Err(refusal) => Err(Refused::before(refusal)),
+        let result = match self.parse_delivery(&head) {
+            Ok(delivery) => self.deliver(&delivery, &head, incoming).await,
+            Err(refusal) => Err(Refused::before_arrival(refusal)),
         };
-        let (mut response, told) = match result {
+        let (mut response, report) = match result {
             Ok(response) => {
                 self.host.until_room(response.body().length()).await;
-                let ran = response.extensions().get().map(|Ran(ran)| Span::of(*ran));
-                let told = Told {
-                    ran,
-                    ..self.told(None)
+                let run_time = response
+                    .extensions()
+                    .get()
+                    .map(|RunTime(run_time)| Span::of(*run_time));
+                let report = Told {
+                    ran: run_time,
+                    ..self.report(None)
                 };
-                (response, told)
+                (response, report)
             }
-            Err(refused) => (bare(refused.refusal.status), self.told(Some(refused))),
+            Err(refused) => (
+                empty_response(refused.refusal.status),
+                self.report(Some(refused)),
+            ),
         };
-        http::set(response.headers_mut(), hop::HEADER, told);
+        http::set(response.headers_mut(), hop::HEADER, report);
         response
     }
 
-    /// Returns what another node is told, with a refusal if there is one.
-    fn told(&self, refused: Option<Refused>) -> Told {
-        let seen = self.host.seen();
+    /// Returns the report for the header of a response to a peer, including the refusal if
+    /// there is one.
+    fn report(&self, refused: Option<Refused>) -> Told {
+        let progress = self.host.seen();
         let gate = &self.host.gate;
         let answered = Told {
             outcome: Outcome::Answered,
             arrived: true,
-            version: seen.version,
-            members: seen.members,
+            version: progress.version,
+            members: progress.members,
             load: gate.load(),
             pace: gate.pace(),
             ran: None,
@@ -536,9 +582,12 @@
         };
         match refused {
             None => answered,
-            Some(Refused { refusal, arrived }) => Told {
+            Some(Refused {
+                refusal,
+                has_arrived,
+            }) => Told {
                 outcome: refusal.outcome,
-                arrived,
+                arrived: has_arrived,
                 retry_after: refusal.retry_after,
                 reason: refusal.reason,
                 ..answered
@@ -546,17 +595,16 @@
         }
     }
 
-    /// Takes a large body in before the request has a slot, if the link can carry it in time
-    /// and the gate has a place for the request now; other bodies are left as they are.
+    /// Reads a large offered body before the request takes a slot, if the link can carry it in
+    /// time and the gate would admit the request now. Returns other bodies unread.
     ///
-    /// The load that this answers: uploads that fill a thin link. With the slot taken first,
-    /// it was held as long as the body waited for the link and crossed it, several times its
-    /// run, and calls that needed the slot for a few milliseconds were turned away: 45 to 54
-    /// of 90 slots where runs take 22, and worth 0.44 where it is 0.68 since, in the mean of
-    /// five days with trouble.
-    async fn body_first(
+    /// This keeps uploads over a slow link from occupying the slots. When the slot was taken
+    /// first, it was held while the body waited for the link and crossed it, several times as
+    /// long as the run, and calls that needed a slot for a few milliseconds were rejected: 45
+    /// to 54 of 90 slots were held where the runs themselves need 22.
+    async fn read_large_body(
         &self,
-        visit: &Visit,
+        delivery: &Delivery,
         head: &request::Parts,
         body: Body,
     ) -> Result<Body, Refused> {
@@ -566,19 +614,23 @@
         if body.is_whole() || !is_large || !is_offered {
             return Ok(body);
         }
-        let arrival = &visit.arrival;
-        self.host.gate.check(arrival).map_err(Refused::before)?;
-        let spare = line::spare(arrival, Instant::now());
-        let counted = self.inflow.count_in(length, spare);
-        let refused = |wait| Refused::before(Refusal::not_run(LINK_FULL, Span::of(wait)));
-        let _counted = counted.map_err(refused)?;
-        self.body(visit, head, body).await
+        let arrival = &delivery.arrival;
+        self.host
+            .gate
+            .check(arrival)
+            .map_err(Refused::before_arrival)?;
+        let slack = line::spare(arrival, Instant::now());
+        let reservation = self.inflow.count_in(length, slack);
+        let refused = |wait| Refused::before_arrival(Refusal::not_run(LINK_FULL, Span::of(wait)));
+        let _reservation = reservation.map_err(refused)?;
+        self.read_body(delivery, head, body).await
     }
 
-    /// Reads a body that is not large, as far as the link has room for it.
-    async fn body(
+    /// Reads a body whole if it is small enough to be buffered, once the link has room for it.
+    /// Returns a larger one to be streamed.
+    async fn read_body(
         &self,
-        visit: &Visit,
+        delivery: &Delivery,
         head: &request::Parts,
         body: Body,
     ) -> Result<Body, Refused> {
@@ -587,28 +639,30 @@
         }
         let length = http::parse::<usize>(&head.headers, "content-length");
         if length.is_some_and(|length| length > KEPT_BODY) {
-            return Ok(Body::streamed(Default::default(), body, visit.deadline));
+            return Ok(Body::streamed(Default::default(), body, delivery.deadline));
         }
         let is_offered = head.headers.contains_key(hyper::header::EXPECT);
         let since = Instant::now();
         let mut waited = Duration::ZERO;
         let read = async {
-            let _room = match is_offered {
+            let _link_permit = match is_offered {
                 true => self.inflow.enter(length).await,
                 false => None,
             };
             waited = since.elapsed();
-            let left = visit.deadline.saturating_duration_since(Instant::now());
-            body::read(body, KEPT_BODY, left).await
+            let remaining = delivery.deadline.saturating_duration_since(Instant::now());
+            body::read(body, KEPT_BODY, remaining).await
+        };
+        let refuse = |reason: String| {
+            Refused::before_arrival(Refusal::not_run(reason, Span::from_millis(100)))
         };
-        let refuse = |why: String| Refused::before(Refusal::not_run(why, Span::from_millis(100)));
-        let read = tokio::time::timeout_at(visit.deadline.into(), read).await;
+        let read = tokio::time::timeout_at(delivery.deadline.into(), read).await;
         if length.is_some_and(balance::is_large) {
             note!(
                 self.host.journal,
                 Event::BodyTaken,
                 id = http::get(&head.headers, self.host.words.dialect.id.as_str()).unwrap_or("-"),
-                service = visit.service,
+                service = delivery.service,
                 bytes = length.unwrap_or_default(),
                 waited = waited.as_millis(),
                 took = since.elapsed().as_millis(),
@@ -617,13 +671,15 @@
         }
         match read {
             Ok(Ok(Read::Whole(bytes))) => Ok(Body::whole(bytes)),
-            Ok(Ok(Read::Start(first, rest))) => Ok(Body::streamed(first, rest, visit.deadline)),
+            Ok(Ok(Read::Start(first, rest))) => Ok(Body::streamed(first, rest, delivery.deadline)),
             Ok(Err(error)) => Err(refuse(error.to_string())),
             Err(_) => Err(refuse(LINK_FULL.into())),
         }
     }
 
-    fn visit(&self, head: &request::Parts) -> Result<Visit, Refusal> {
+    /// Returns the terms on which a peer asks for a delivery; refuses if this node can't accept
+    /// it.
+    fn parse_delivery(&self, head: &request::Parts) -> Result<Delivery, Refusal> {
         let ask: Ask = http::parse(&head.headers, hop::HEADER)
             .ok_or_else(|| Refusal::rejected(400, "a node says what it asks for"))?;
         let now = Instant::now();
@@ -633,7 +689,7 @@
         if self.host.is_leaving() {
             return Err(Refusal::not_run(LEAVING, Span::from_millis(0)));
         }
-        Ok(Visit {
+        Ok(Delivery {
             service: ask.service,
             arrival: Arrival {
                 priority: ask.priority,
@@ -641,52 +697,55 @@
                 due: now + ask.due.duration(),
                 usual: ask.usual.map(Span::duration),
             },
-            answer: ask.answer,
+            answer_size: ask.answer,
             deadline: now + ask.deadline.duration(),
             is_trial: false,
-            faults: ask.faults,
-            is_again: ask.is_again,
+            fault_permille: ask.faults,
+            is_repeat: ask.is_again,
         })
     }
 }
 
-/// Returns whether a refusal says that the target can't be had at this node.
-pub fn is_leaving(reason: &str) -> bool {
+/// Returns whether the reason of a refusal is that the node has no target or that its target
+/// is leaving.
+pub fn is_target_unavailable(reason: &str) -> bool {
     [LEAVING, NO_TARGET].contains(&reason)
 }
 
-/// Returns whether a run that has ended was a fault of the target; nothing if it did not run.
+/// Returns whether a completed run is a fault of the target, or `None` if the request did not
+/// run.
 ///
-/// One whose time is over is none by itself: how long it took is weighed.
-fn is_fault(ended: &Result<Response<Body>, Refused>) -> Option<bool> {
-    match ended {
+/// A timeout is no fault by itself: its run time is assessed instead.
+fn is_fault(result: &Result<Response<Body>, Refused>) -> Option<bool> {
+    match result {
         Ok(response) => Some(response.status().is_server_error()),
         Err(refused) if refused.is_fault() => Some(true),
-        Err(refused) => (refused.arrived && refused.refusal.status == 504).then_some(false),
+        Err(refused) => (refused.has_arrived && refused.refusal.status == 504).then_some(false),
     }
 }
 
-fn bare(status: u16) -> Response<Body> {
+fn empty_response(status: u16) -> Response<Body> {
     plain(StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY))
 }
 
-/// Returns the refusal that another node answered with, if it is one.
-pub fn refusal_of_node(status: StatusCode, told: Told) -> Option<Refused> {
-    if told.outcome == Outcome::Answered {
+/// Returns the refusal that a peer reported, or `None` if the response is the target's answer.
+pub fn peer_refusal(status: StatusCode, report: Told) -> Option<Refused> {
+    if report.outcome == Outcome::Answered {
         return None;
     }
     Some(Refused {
         refusal: Refusal {
-            outcome: told.outcome,
+            outcome: report.outcome,
             status: status.as_u16(),
-            reason: told.reason,
-            retry_after: told.retry_after,
+            reason: report.reason,
+            retry_after: report.retry_after,
         },
-        arrived: told.arrived,
+        has_arrived: report.arrived,
     })
 }
 
-/// Returns the path and query alone, as requests to a server have them.
+/// Returns the path and query of a URI, the form of the request target that origin servers
+/// expect.
 pub fn origin_form(uri: &hyper::Uri) -> hyper::Uri {
     let path = uri.path_and_query().map_or("/", |path| path.as_str());
     path.parse()
--- a/src/transport/relay/next.rs
+++ b/src/transport/relay/next.rs
@@ -1,7 +1,7 @@
-//! Requests to the node beside a target.
+//! The client for requests to the nodes beside targets on other hosts.
 //!
-//! Whatever happens on the way, two things are known of a request afterwards: whether
-//! its target may have seen it, and whether the node or the target is to blame.
+//! However an attempt ends, two things are known afterwards: whether the target may have seen
+//! the request, and whether a failure is due to the node or to the target.
 
 use std::{
     sync::Arc,
@@ -29,22 +29,22 @@
             KEPT_BODY,
             body::{self, Body, Read},
             egress::Call,
-            ingress::{self, Refused, Visit},
+            ingress::{self, Delivery, Refused},
             offer, onward,
-            outstanding::{Tried, Watch},
+            outstanding::{AttemptGuard, AttemptOutcome},
             pool::{Exchange, Failure, Pool, Settings},
         },
     },
     unit::Span,
 };
 
-/// How connections to other nodes are made and kept. A connection within a
-/// region takes a few milliseconds; one that takes longer goes nowhere. Each one
-/// that is kept holds some 20 KB at both ends, and a new one costs a round trip.
+/// Settings of the connections to peers. Connecting within a region takes a few milliseconds;
+/// one that takes much longer will not succeed. An idle connection holds about 20 KB at both
+/// ends, and a new one costs a round trip.
 ///
-/// A node of hundreds meets another one again after many seconds, when the connection
-/// that was kept for it has been closed: nearly all that are kept are closed unused. So
-/// only the latest few are kept; requests that follow each other closely find them.
+/// Among hundreds of nodes, a node sends to the same peer again only after many seconds, when
+/// the idle connection has been closed: nearly all idle connections are closed unused. So only
+/// the few latest are kept, for requests in close succession.
 const POOL: Settings = Settings {
     connect: Duration::from_millis(250),
     keep: Duration::from_secs(5),
@@ -52,21 +52,21 @@
     total: 32,
 };
 
-/// How long a node may take to give leave for a body, besides the time for which the
-/// request may wait for room there: as long as a connection may take.
-const LEAVE: Duration = Duration::from_millis(250);
+/// How long a peer may take to accept an offered body, in addition to the maximum wait of the
+/// request at its gate: as long as connecting may take.
+const OFFER_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// When callers are asked to come back when a node could not be reached.
-const UNREACHED_AGAIN: Span = Span::from_millis(200);
+/// The `Retry-After` of refusals because a peer could not be reached.
+const UNREACHABLE_RETRY_AFTER: Span = Span::from_millis(200);
 
-/// The way to the nodes beside other targets.
-pub struct Next {
+/// Sends requests to the nodes beside targets on other hosts.
+pub struct PeerClient {
     host: Arc<Host>,
     pool: Pool,
 }
 
-impl Next {
-    /// Returns the way from `host`, with no connections yet.
+impl PeerClient {
+    /// Returns a client for `host`, with no connections yet.
     pub fn new(host: Arc<Host>) -> Self {
         Self {
             host,
@@ -74,65 +74,67 @@
         }
     }
 
-    /// Closes connections that were unused for long.
+    /// Closes idle connections.
     pub fn tidy(&self) {
         self.pool.tidy();
     }
 
-    /// Sends a request to the node beside the target.
+    /// Sends a request to the node beside the target, and returns how the attempt ended. Puts
+    /// the peer's report, or the failure of the peer, into `guard`.
     pub async fn send(
         &self,
         call: &Call,
         member: &Member,
-        visit: &Visit,
+        delivery: &Delivery,
         body: Body,
-        watch: &mut Watch<'_>,
-    ) -> Tried {
+        guard: &mut AttemptGuard<'_>,
+    ) -> AttemptOutcome {
         let is_large = body.length().is_none_or(balance::is_large);
         let is_offered = is_offered(call, &body);
-        let request = self.request(call, member, visit, body);
-        let sent = if is_offered {
-            self.send_offer(member, visit, request).await
+        let request = self.peer_request(call, member, delivery, body);
+        let result = if is_offered {
+            self.send_offer(member, delivery, request).await
         } else {
-            let sent = self.pool.send(member.inbound, request, visit.deadline);
-            sent.await
+            let sending = self.pool.send(member.inbound, request, delivery.deadline);
+            sending.await
         };
-        let exchange = match sent {
+        let exchange = match result {
             Ok(exchange) => exchange,
             Err(failure) => {
-                watch.fault = Some(fault(&failure));
-                if matches!(watch.fault, Some(End::Lost(_))) {
+                guard.node_failure = Some(node_failure(&failure));
+                if matches!(guard.node_failure, Some(End::Lost(_))) {
                     self.pool.forget(member.inbound);
                 }
-                return Tried::Refused(failed(&failure));
+                return AttemptOutcome::Refused(refuse_failure(&failure));
             }
         };
         let Exchange {
             response,
             connection,
         } = exchange;
-        let told = http::parse::<Told>(response.headers(), hop::HEADER);
-        let refused = told.and_then(|told| {
-            watch.report = Report {
-                load: Some(told.load),
-                pace: Some(told.pace),
-                ran: told.ran.map(Span::duration),
+        let report = http::parse::<Told>(response.headers(), hop::HEADER);
+        let refused = report.and_then(|report| {
+            guard.report = Report {
+                load: Some(report.load),
+                pace: Some(report.pace),
+                ran: report.ran.map(Span::duration),
                 is_large,
             };
-            self.host.hear_of(told.version, told.members, member.peers);
-            ingress::refusal_of_node(response.status(), told)
+            self.host
+                .hear_of(report.version, report.members, member.peers);
+            ingress::peer_refusal(response.status(), report)
         });
         let (head, incoming) = response.into_parts();
-        let left = call.deadline.saturating_duration_since(Instant::now());
-        let read = body::read(incoming, KEPT_BODY, left).await;
+        let remaining = call.deadline.saturating_duration_since(Instant::now());
+        let read = body::read(incoming, KEPT_BODY, remaining).await;
         let body = match (read, refused) {
             (Ok(Read::Whole(_)), Some(refused)) if !is_offered => {
                 self.pool.put_back(connection);
-                return Tried::Refused(refused);
+                return AttemptOutcome::Refused(refused);
             }
-            // A refused offer ends its connection: the body that was told of is
-            // still due on it.
-            (_, Some(refused)) => return Tried::Refused(refused),
+            // The connection of a refused offer can't be reused: the peer still expects the
+            // announced body on it.
+            (_, Some(refused)) => return AttemptOutcome::Refused(refused),
             (Ok(Read::Whole(bytes)), None) => {
                 self.pool.put_back(connection);
                 Body::whole(bytes)
@@ -142,40 +144,40 @@
             }
             (Err(_), None) => {
                 let refusal = Refusal::unknown(502, "the answer broke off between nodes");
-                return Tried::Refused(Refused {
+                return AttemptOutcome::Refused(Refused {
                     refusal,
-                    arrived: true,
+                    has_arrived: true,
                 });
             }
         };
         let mut response = Response::new(body);
         *response.status_mut() = head.status;
         *response.headers_mut() = onward(&head.headers);
-        Tried::Answered(response)
+        AttemptOutcome::Answered(response)
     }
 
-    /// Sends a request whose body waits for the other node's leave. Without it
-    /// nothing has left, whatever the failure.
+    /// Sends a request whose body is sent only once the peer accepts it. Until then, any
+    /// failure means that nothing of the body was sent.
     async fn send_offer(
         &self,
         member: &Member,
-        visit: &Visit,
+        delivery: &Delivery,
         request: Request<Body>,
     ) -> Result<Exchange, Failure> {
         let (request, offer) = offer::offer(request);
-        let leave_by = Instant::now() + visit.arrival.patience + LEAVE;
-        let sent = self.pool.send(member.inbound, request, visit.deadline);
-        let mut sent = std::pin::pin!(sent);
-        let early = tokio::time::timeout_at(leave_by.into(), sent.as_mut()).await;
-        let sent = match early {
-            Ok(sent) => sent,
+        let offer_deadline = Instant::now() + delivery.arrival.patience + OFFER_TIMEOUT;
+        let sending = self.pool.send(member.inbound, request, delivery.deadline);
+        let mut sending = std::pin::pin!(sending);
+        let early = tokio::time::timeout_at(offer_deadline.into(), sending.as_mut()).await;
+        let result = match early {
+            Ok(result) => result,
             Err(_) if offer.take_back() => return Err(Failure::Untaken),
-            Err(_) => sent.await,
+            Err(_) => sending.await,
         };
-        sent.map_err(|failure| match failure {
+        result.map_err(|failure| match failure {
             Failure::Broken(error) if offer.take_back() => {
-                let silence = Failure::Broken(error).is_silence();
-                let kind = if silence {
+                let is_timeout = Failure::Broken(error).is_silence();
+                let kind = if is_timeout {
                     std::io::ErrorKind::TimedOut
                 } else {
                     std::io::ErrorKind::ConnectionReset
@@ -187,58 +189,69 @@
         })
     }
 
-    fn request(&self, call: &Call, member: &Member, visit: &Visit, body: Body) -> Request<Body> {
+    /// Returns the request as it is sent to a peer.
+    fn peer_request(
+        &self,
+        call: &Call,
+        member: &Member,
+        delivery: &Delivery,
+        body: Body,
+    ) -> Request<Body> {
         let mut request = Request::new(body);
         *request.method_mut() = call.head.method.clone();
         *request.uri_mut() = ingress::origin_form(&call.head.uri);
         *request.headers_mut() = onward(&call.head.headers);
         let now = Instant::now();
-        let left = |until: Instant| Span::of(until.saturating_duration_since(now));
+        let remaining = |until: Instant| Span::of(until.saturating_duration_since(now));
         let ask = Ask {
             to: member.node.clone(),
-            service: visit.service.clone(),
-            priority: visit.arrival.priority,
-            patience: Span::of(visit.arrival.patience),
-            due: left(visit.arrival.due),
-            deadline: left(visit.deadline),
-            usual: visit.arrival.usual.map(Span::of),
-            answer: visit.answer,
-            faults: visit.faults,
-            is_again: visit.is_again,
+            service: delivery.service.clone(),
+            priority: delivery.arrival.priority,
+            patience: Span::of(delivery.arrival.patience),
+            due: remaining(delivery.arrival.due),
+            deadline: remaining(delivery.deadline),
+            usual: delivery.arrival.usual.map(Span::of),
+            answer: delivery.answer_size,
+            faults: delivery.fault_permille,
+            is_again: delivery.is_repeat,
         };
         http::set(request.headers_mut(), hop::HEADER, ask);
         request
     }
 }
 
-/// Returns whether a request's body waits for the other node's leave: it is large, or the
-/// request may run only once.
+/// Returns whether a request's body is offered before it is sent: it is large or of unknown
+/// length, or the request may run only once.
 pub fn is_offered(call: &Call, body: &Body) -> bool {
     let is_large = body.length().is_none_or(balance::is_large);
     is_large || (call.route.kind == Kind::Once && body.length() != Some(0))
 }
 
-fn failed(failure: &Failure) -> Refused {
-    let (refusal, arrived) = match failure {
+/// Returns the refusal for a request that got no response from a peer.
+fn refuse_failure(failure: &Failure) -> Refused {
+    let (refusal, has_arrived) = match failure {
         Failure::Untaken => (
-            Refusal::not_run("node does not take it", UNREACHED_AGAIN),
+            Refusal::not_run("node does not take it", UNREACHABLE_RETRY_AFTER),
             false,
         ),
         Failure::NotSent(_) => (
-            Refusal::not_run("node can't be reached", UNREACHED_AGAIN),
+            Refusal::not_run("node can't be reached", UNREACHABLE_RETRY_AFTER),
             false,
         ),
         Failure::Broken(_) => (Refusal::unknown(502, "node broke off"), true),
         Failure::TimedOut => (Refusal::unknown(504, "no answer in time"), true),
     };
-    Refused { refusal, arrived }
+    Refused {
+        refusal,
+        has_arrived,
+    }
 }
 
-/// Returns what a failure says of the node.
-fn fault(failure: &Failure) -> End {
+/// Returns what a failure means for the reachability of the peer.
+fn node_failure(failure: &Failure) -> End {
     match failure {
         Failure::TimedOut | Failure::Untaken => End::Late,
-        // The body was ours to give, and its caller left or sent too much.
+        // The body ended with an error on this side: the caller disconnected or sent too much.
         Failure::Broken(error) if error.is_user() => End::Abandoned,
         failure if failure.is_silence() => End::Lost(Loss::Silent),
         _ => End::Lost(Loss::Closed),
--- a/src/transport/relay/offer.rs
+++ b/src/transport/relay/offer.rs
@@ -1,15 +1,15 @@
-//! Bodies that are offered before they are sent.
+//! Request bodies that are offered with `Expect: 100-continue` before they are sent.
 //!
-//! The head goes alone, with `Expect: 100-continue`, and the body once the other node
-//! has room for the request. Two kinds are offered:
+//! The head is sent alone, and the body once the peer has room for the request. Two kinds of
+//! bodies are offered:
 //!
-//! * Large ones ([`is_large`](crate::coordination::decision::balance::is_large)); smaller ones go
-//!   out with the first packets of a connection. A body that goes to a node only to be refused there has cost its
-//!   link as much as one that is served; with several nodes asked for room, thin
-//!   links fill up with uploads that nobody takes, and heartbeats and changes wait
-//!   behind them.
-//! * Those of requests that may run only once. While the body is here, the request
-//!   certainly has not run, whatever became of the other node, and may go elsewhere.
+//! * Large ones ([`is_large`](crate::coordination::decision::balance::is_large)); smaller ones
+//!   fit into the first packets of a connection. A body that a node refuses after receiving it
+//!   costs the link as much as one that is served. When several nodes are tried in turn, slow
+//!   links fill up with refused uploads, and heartbeats and configuration changes wait behind
+//!   them.
+//! * Those of requests that may run only once. As long as the body has not been sent, the
+//!   request has certainly not run, whatever happened to the peer, and may go to another node.
 
 use std::{sync::Arc, time::Duration};
 
@@ -26,94 +26,98 @@
     unit::Span,
 };
 
-/// How long the bodies that are let in at a time may keep the link busy: what small messages
-/// wait for behind them, which at 150 ms was as long as the objective of a call. On links of
-/// 7 Mbit/s, which one body of 60 KB keeps busy for 69 ms, worth rose by 0.010 to 0.043 on
-/// each of five days, 0.025 in the mean.
-const IN_TRANSIT: Span = Span::from_millis(75);
+/// The maximum time for which the bodies admitted at a time may occupy the link. Small messages
+/// wait behind them for as long. At 150 ms, that wait was as long as the objective of a call.
+/// One body of 60 KB occupies a link of 7 Mbit/s for 69 ms.
+const MAX_LINK_TIME: Span = Span::from_millis(75);
 
-/// What a body of unknown length is counted as, in bytes: one of the largest that
-/// are kept whole.
-const UNKNOWN: usize = super::KEPT_BODY;
+/// The size assumed for a body of unknown length, in bytes: that of the largest body that is
+/// buffered whole.
+const ASSUMED_BYTES: usize = super::KEPT_BODY;
 
-/// Lets bodies in as far as the host's link carries them.
+/// Admits request bodies as far as the bandwidth of the host's link allows.
 pub struct Inflow {
-    /// A permit for each KiB; none if the link is not known.
-    room: Option<(Semaphore, u32)>,
-    /// What was counted in and has not come.
+    /// A semaphore with a permit for each KiB in transit, and the number of its permits; `None`
+    /// if the bandwidth is unknown.
+    permits: Option<(Semaphore, u32)>,
+    /// The bodies that are reserved and have not arrived whole.
     flow: Flow,
 }
 
 impl Inflow {
-    /// Returns what lets in as much as a link of `bandwidth` Mbit/s carries; 0 is a
-    /// link that is not known, which bounds nothing.
+    /// Returns the admission for a link of `bandwidth` Mbit/s. 0 means that the bandwidth is
+    /// unknown, and admits everything.
     pub fn new(bandwidth: u32) -> Self {
-        let bytes = u64::from(bandwidth) * 1_000_000 / 8 * IN_TRANSIT.as_millis() / 1000;
+        let bytes = u64::from(bandwidth) * 1_000_000 / 8 * MAX_LINK_TIME.as_millis() / 1000;
         let kib = u32::try_from(bytes >> 10).unwrap_or(u32::MAX);
-        let room = (bandwidth > 0).then(|| (Semaphore::new(kib as usize), kib));
+        let permits = (bandwidth > 0).then(|| (Semaphore::new(kib as usize), kib));
         Self {
-            room,
+            permits,
             flow: Flow::new(bandwidth),
         }
     }
 
-    /// Counts in a body of `length` that must have come within `spare`.
+    /// Reserves the link for a body of `length` bytes that must arrive within `slack`.
     ///
     /// # Errors
     ///
-    /// How much longer than that it would take behind those that come already.
-    pub fn count_in(&self, length: Option<usize>, spare: Duration) -> Result<Counted, Duration> {
-        self.flow.count_in(length.unwrap_or(UNKNOWN), spare)
+    /// If the body would take longer than `slack` after those reserved before; the error is the
+    /// excess.
+    pub fn count_in(&self, length: Option<usize>, slack: Duration) -> Result<Counted, Duration> {
+        self.flow.count_in(length.unwrap_or(ASSUMED_BYTES), slack)
     }
 
-    /// Waits until a body of `length` may come; it has come when the permit is
-    /// dropped. One that is larger than all the room waits until it is alone.
+    /// Waits until a body of `length` bytes may be received. The returned permit must be held
+    /// until the body has arrived. A body larger than the total of permits waits until no other
+    /// is in transit.
     pub async fn enter(&self, length: Option<usize>) -> Option<SemaphorePermit<'_>> {
-        let (room, all) = self.room.as_ref()?;
-        let kib = length.unwrap_or(UNKNOWN).div_ceil(1 << 10);
-        let kib = u32::try_from(kib).unwrap_or(u32::MAX).min(*all);
-        // It is never closed.
-        room.acquire_many(kib).await.ok()
+        let (permits, total) = self.permits.as_ref()?;
+        let kib = length.unwrap_or(ASSUMED_BYTES).div_ceil(1 << 10);
+        let kib = u32::try_from(kib).unwrap_or(u32::MAX).min(*total);
+        // `ok` loses nothing: the semaphore is never closed.
+        permits.acquire_many(kib).await.ok()
     }
 }
 
-/// A body that waits for the other node's leave.
+/// A body that is sent only once the peer accepts it.
 pub struct Offer {
-    leave: Leave,
+    go_ahead: GoAhead,
 }
 
-type Leave = Arc<Mutex<Option<oneshot::Sender<()>>>>;
+/// The channel that releases the body; `None` once the offer was accepted or withdrawn.
+type GoAhead = Arc<Mutex<Option<oneshot::Sender<()>>>>;
 
 impl Offer {
-    /// Takes the offer back. Returns whether that was in time: nothing of the body
-    /// has left, nor ever will.
+    /// Withdraws the offer. Returns whether it was not accepted before: nothing of the body has
+    /// been sent, or ever will be.
     pub fn take_back(&self) -> bool {
-        self.leave.lock().take().is_some()
+        self.go_ahead.lock().take().is_some()
     }
 
-    /// Returns whether the other node has taken it.
+    /// Returns whether the peer has accepted the offer, or it was withdrawn.
     pub fn is_taken(&self) -> bool {
-        self.leave.lock().is_none()
+        self.go_ahead.lock().is_none()
     }
 }
 
-/// Makes `request` an offer.
+/// Returns `request` with its body held back until the peer answers `100 Continue`, and a handle
+/// to the offer.
 pub fn offer(request: Request<Body>) -> (Request<Body>, Offer) {
-    let (leave, given) = oneshot::channel();
-    let mut request = request.map(|body| body.after(given));
+    let (sender, receiver) = oneshot::channel();
+    let mut request = request.map(|body| body.after(receiver));
     request
         .headers_mut()
         .insert(EXPECT, HeaderValue::from_static("100-continue"));
-    let leave = Arc::new(Mutex::new(Some(leave)));
+    let go_ahead = Arc::new(Mutex::new(Some(sender)));
     let offer = Offer {
-        leave: leave.clone(),
+        go_ahead: go_ahead.clone(),
     };
     hyper::ext::on_informational(&mut request, move |response| {
         if response.status() == StatusCode::CONTINUE
-            && let Some(leave) = leave.lock().take()
+            && let Some(sender) = go_ahead.lock().take()
         {
-            // The body may be gone already, with its request.
-            let _ = leave.send(());
+            // Sending fails if the request was dropped together with its body.
+            let _ = sender.send(());
         }
     });
     (request, offer)
--- a/src/transport/relay/outstanding.rs
+++ b/src/transport/relay/outstanding.rs
@@ -1,4 +1,4 @@
-//! Requests under way at other nodes, and how each ended.
+//! Attempts at nodes: their outcomes, and the guard that counts them while they run.
 
 use std::time::{Duration, Instant};
 
@@ -24,54 +24,64 @@
     },
 };
 
-/// How one try ended.
-pub enum Tried {
-    /// With the target's answer.
+/// How one attempt ended.
+pub enum AttemptOutcome {
+    /// The target answered.
     Answered(Response<Body>),
-    /// Without one.
+    /// The attempt was refused or failed.
     Refused(Refused),
 }
 
-impl Tried {
-    /// Returns whether a target has seen the request.
+impl AttemptOutcome {
+    /// Returns whether a target may have seen the request.
     pub fn has_arrived(&self) -> bool {
         match self {
             Self::Answered(_) => true,
-            Self::Refused(refused) => refused.arrived,
+            Self::Refused(refused) => refused.has_arrived,
         }
     }
 }
 
-impl From<Tried> for Ended<Response<Body>> {
-    fn from(tried: Tried) -> Self {
-        match tried {
-            Tried::Answered(answer) => Self::Answered {
+impl From<AttemptOutcome> for Ended<Response<Body>> {
+    fn from(outcome: AttemptOutcome) -> Self {
+        match outcome {
+            AttemptOutcome::Answered(answer) => Self::Answered {
                 is_fault: answer.status().is_server_error(),
                 answer,
             },
-            Tried::Refused(Refused { refusal, .. }) if refusal.reason == ingress::TARGET_ENDED => {
+            AttemptOutcome::Refused(Refused { refusal, .. })
+                if refusal.reason == ingress::TARGET_CRASHED =>
+            {
                 Self::TargetEnded(refusal)
             }
-            Tried::Refused(Refused { refusal, arrived }) => Self::Refused { refusal, arrived },
+            AttemptOutcome::Refused(Refused {
+                refusal,
+                has_arrived,
+            }) => Self::Refused {
+                refusal,
+                arrived: has_arrived,
+            },
         }
     }
 }
 
-/// Counts a request as outstanding at a node until it ends, however it ends.
-pub struct Watch<'a> {
+/// Counts a request as outstanding at a node until it is dropped, and then records how the
+/// attempt ended.
+pub struct AttemptGuard<'a> {
     host: &'a Host,
     member: &'a Member,
     route: &'a Name,
     service: &'a Name,
-    /// What the node reported of its target.
+    /// The node's report about its target.
     pub report: Report,
-    /// How the node failed, where it did and not its target.
-    pub fault: Option<End>,
-    end: End,
+    /// How the node itself failed, as opposed to its target; `None` if it didn't.
+    pub node_failure: Option<End>,
+    /// How the attempt ended; abandoned unless it was finished.
+    result: End,
 }
 
-impl<'a> Watch<'a> {
-    /// Notes that a request of `route` for `service` is sent to a member.
+impl<'a> AttemptGuard<'a> {
+    /// Returns a guard for a request of `route` for `service` that is sent to a member.
     pub fn start(host: &'a Host, member: &'a Member, route: &'a Name, service: &'a Name) -> Self {
         host.balance.lock().start(member, Instant::now());
         Self {
@@ -80,20 +90,24 @@
             route,
             service,
             report: Report::default(),
-            fault: None,
-            end: End::Abandoned,
+            node_failure: None,
+            result: End::Abandoned,
         }
     }
 
-    /// Notes how it ended, after this time.
-    pub fn finish(mut self, tried: &Tried, took: Duration) {
-        self.end = match tried {
-            Tried::Answered(response) if response.status().is_server_error() => End::Failed,
-            Tried::Answered(_) => End::Answered(took),
-            Tried::Refused(refused) => match refused.refusal.outcome {
-                _ if self.fault.is_some() => self.fault.unwrap_or(End::Failed),
+    /// Records how the attempt ended, after `elapsed`.
+    pub fn finish(mut self, outcome: &AttemptOutcome, elapsed: Duration) {
+        self.result = match outcome {
+            AttemptOutcome::Answered(response) if response.status().is_server_error() => {
+                End::Failed
+            }
+            AttemptOutcome::Answered(_) => End::Answered(elapsed),
+            AttemptOutcome::Refused(refused) => match refused.refusal.outcome {
+                _ if self.node_failure.is_some() => self.node_failure.unwrap_or(End::Failed),
                 Outcome::NotRun if refused.refusal.reason == ingress::OTHER_NODE => End::Replaced,
-                Outcome::NotRun if ingress::is_leaving(&refused.refusal.reason) => End::Leaving,
+                Outcome::NotRun if ingress::is_target_unavailable(&refused.refusal.reason) => {
+                    End::Leaving
+                }
                 Outcome::NotRun => End::Refused,
                 _ => End::Failed,
             },
@@ -101,23 +115,23 @@
     }
 }
 
-impl Drop for Watch<'_> {
+impl Drop for AttemptGuard<'_> {
     fn drop(&mut self) {
         let now = Instant::now();
-        let tried = metrics::Try {
+        let labels = metrics::Try {
             service: self.service.to_string(),
-            end: self.end.name(),
+            end: self.result.name(),
         };
-        self.host.metrics.tries.get_or_create(&tried).inc();
+        self.host.metrics.tries.get_or_create(&labels).inc();
         let mut balance = self.host.balance.lock();
-        let is_out = balance.finish(self.member, self.route, self.end, self.report, now);
-        if is_out {
+        let is_ejected = balance.finish(self.member, self.route, self.result, self.report, now);
+        if is_ejected {
             self.host.lost.notify_one();
             note!(
                 self.host.journal,
                 Event::Ejected,
                 target = self.member.node,
-                end = format_args!("{:?}", self.end)
+                end = format_args!("{:?}", self.result)
             );
         }
     }
