--- a/src/transport/relay/content.rs
+++ b/src/transport/relay/content.rs
@@ -1,11 +1,12 @@
-//! What a target sees of a request, to be told from other requests.
+//! Fingerprints that distinguish requests by what a target sees of them.
 
 use hyper::http::request;
 
 use crate::{state::fingerprint::Fingerprint, transport::http};
 
-/// Returns the fingerprint of a request with this head and body; of a body that passes in
-/// pieces only the length counts.
+/// Returns the fingerprint of a request with this head and body.
+///
+/// `body` is `None` if the body is streamed; then only its length counts.
 pub fn fingerprint(head: &request::Parts, body: Option<&[u8]>) -> Fingerprint {
     let header = |name| {
         http::get(&head.headers, name)
--- a/src/transport/relay/mod.rs
+++ b/src/transport/relay/mod.rs
@@ -1,14 +1,14 @@
 //! The request path of a host process, on hyper.
 //!
-//! A caller's request enters at [`egress`], which finds its route and a target.
-//! The node beside that target takes it at [`ingress`] and gives it to the
-//! target once its gate has room. [`control`] answers peers, targets and
-//! readiness checks.
+//! [`egress`] receives a caller's request and selects its route and a target.
+//! The node beside that target receives the request at [`ingress`] and forwards
+//! it to the target once the gate admits it. [`control`] serves peers, targets,
+//! readiness checks and metrics.
 //!
-//! Salvo and reqwest serve the rest of the product. Here their common base is
-//! used as it is, since two things must be known that they hide: whether any
-//! byte of a request has left, and what lies on a kept connection before it is
-//! used again (docs/DESIGN.md).
+//! The rest of the product uses salvo and reqwest. This module uses hyper
+//! directly, since the two hide whether any byte of a request was sent and
+//! whether an idle connection holds unread bytes before it is reused
+//! (docs/DESIGN.md).
 
 pub mod body;
 pub mod codec;
@@ -33,34 +33,33 @@
     transport::{http, relay::body::Body},
 };
 
-/// The largest body that is kept whole: uploads of both meshes stay below it,
-/// and a hundred of them at once are a fifth of a process's memory.
+/// The largest body that is buffered whole, in bytes. Uploads of both meshes
+/// are smaller, and 100 such bodies at once take a fifth of a process's memory.
 pub const KEPT_BODY: usize = 512 << 10;
 
-/// Headers that a node answers itself and never passes on.
-const ANSWERED_HERE: [&str; 1] = ["expect"];
+/// Headers that a node handles itself and never forwards.
+const LOCAL_HEADERS: [&str; 1] = ["expect"];
 
-/// Returns the headers that are passed on of a request or answer.
+/// Returns the headers of a request or response that are forwarded.
 pub fn onward(headers: &HeaderMap) -> HeaderMap {
-    let mut passed = http::end_to_end(headers, hop::HEADER);
-    for name in ANSWERED_HERE {
-        passed.remove(name);
+    let mut forwarded = http::end_to_end(headers, hop::HEADER);
+    for name in LOCAL_HEADERS {
+        forwarded.remove(name);
     }
-    passed
+    forwarded
 }
 
-/// Returns a plain answer without a body.
+/// Returns a response with `status` and an empty body.
 pub fn plain(status: StatusCode) -> Response<Body> {
     let mut response = Response::new(Body::whole(""));
     *response.status_mut() = status;
     response
 }
 
-/// Returns the answer to a caller whose request is refused, with `left` of its
-/// time.
+/// Returns the response to a rejected request with `left` until its deadline.
 ///
-/// The time to come back is at most a third of what is left: a caller that
-/// comes back later has no time for the answer.
+/// `retry-after` is at most a third of `left`: after a longer pause the caller
+/// would have no time left for the response.
 pub fn refused(refusal: &Refusal, left: Duration) -> Response<Body> {
     let status = StatusCode::from_u16(refusal.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = Response::new(Body::whole(format!(
@@ -68,18 +67,18 @@
         refusal.outcome, refusal.reason
     )));
     *response.status_mut() = status;
-    if let Some(later) = refusal.retry_after {
-        let later = later.duration().min(left / 3).as_secs_f64();
+    if let Some(delay) = refusal.retry_after {
+        let seconds = delay.duration().min(left / 3).as_secs_f64();
         http::set(
             response.headers_mut(),
             "retry-after",
-            format_args!("{later:.3}"),
+            format_args!("{seconds:.3}"),
         );
     }
     response
 }
 
-/// Returns the `Host` of a request, without port.
+/// Returns the `Host` of a request in lower case and without the port.
 pub fn host_of(head: &request::Parts) -> String {
     let host = http::get(&head.headers, "host").or_else(|| head.uri.host());
     let host = host.unwrap_or_default();
