--- a/src/transport/relay/pool.rs
+++ b/src/transport/relay/pool.rs
@@ -1,8 +1,8 @@
-//! Connections to other nodes, to the target and to the store, kept for reuse.
+//! A pool of connections to other nodes, to the target and to the store.
 //!
-//! What matters here is the one question that an ordinary client leaves open:
-//! whether any byte of a request went out. A request that certainly did not
-//! leave may be sent anywhere else; of any other it isn't known whether it ran.
+//! Unlike an ordinary client, it reports whether any byte of a failed request
+//! may have been sent. If none was, the request can be sent elsewhere;
+//! otherwise it isn't known whether it ran.
 
 use std::{
     collections::HashMap,
@@ -24,40 +24,40 @@
     io::{self, Idle, Io},
 };
 
-/// How long the system takes to close all that a process had open, with a margin: short
-/// against the wait of a request that broke off.
-const ENDING: Duration = Duration::from_millis(5);
+/// How long the system takes to close all sockets of a process that ended, with a margin.
+/// Short against the time that a broken request waits anyway.
+const SOCKET_CLOSE_TIME: Duration = Duration::from_millis(5);
 
-/// Connections to some addresses.
+/// A pool of connections, by address.
 pub struct Pool {
     settings: Settings,
-    idle: Mutex<Unused>,
+    idle: Mutex<IdleConnections>,
 }
 
-/// How connections are made and kept.
+/// The timeouts and limits of a pool.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// How long a connection may take to come about.
+    /// How long connecting may take.
     pub connect: Duration,
-    /// How long an unused connection is kept.
+    /// How long an idle connection is kept open.
     pub keep: Duration,
-    /// Unused connections kept for each address.
+    /// The most idle connections to each address.
     pub kept: usize,
-    /// Unused connections kept in all; the one that was unused for longest makes room.
+    /// The most idle connections in all; beyond it, the one that was idle longest is closed.
     pub total: usize,
 }
 
-/// Why there is no answer.
+/// Why a request got no response.
 #[derive(Debug, thiserror::Error)]
 pub enum Failure {
-    /// Nothing was sent: no connection came about.
+    /// Nothing was sent: no connection was established.
     #[error("cannot connect")]
     NotSent(#[source] std::io::Error),
     /// The connection broke after something may have been sent.
     #[error("connection broke")]
     Broken(#[source] hyper::Error),
-    /// The other end gave no leave for the body, of which nothing was sent.
-    #[error("no leave in time")]
+    /// The other end did not send `100 Continue` in time; nothing of the body was sent.
+    #[error("no 100 Continue in time")]
     Untaken,
     /// The deadline passed after something may have been sent.
     #[error("no answer in time")]
@@ -65,7 +65,7 @@
 }
 
 impl Failure {
-    /// Returns whether the other host said nothing at all, not even that it takes no
+    /// Returns whether the other host did not respond at all, not even by refusing the
     /// connection.
     pub fn is_silence(&self) -> bool {
         match self {
@@ -80,11 +80,11 @@
     }
 }
 
-/// An answer's head, and the connection it comes from.
+/// A response whose body is not yet read, and its connection.
 pub struct Exchange {
-    /// The head, with the body to come.
+    /// The response.
     pub response: Response<Body>,
-    /// The connection.
+    /// The connection that the response comes from.
     pub connection: Connection,
 }
 
@@ -93,67 +93,68 @@
     address: SocketAddr,
     sender: SendRequest<Body>,
     stream: Arc<TcpStream>,
-    /// Until when its other end said it keeps it, unused.
-    keep: Duration,
+    /// How long it may be idle: the pool's setting, or four fifths of the `timeout` that
+    /// the other end announced.
+    idle_timeout: Duration,
 }
 
-struct Kept {
+struct IdleConnection {
     connection: Connection,
     since: Instant,
 }
 
-/// The unused connections, those of an address from the oldest on.
+/// The idle connections, ordered from the oldest on for each address.
 #[derive(Default)]
-struct Unused {
-    addresses: HashMap<SocketAddr, Vec<Kept>>,
+struct IdleConnections {
+    addresses: HashMap<SocketAddr, Vec<IdleConnection>>,
     count: usize,
 }
 
-impl Unused {
-    fn put(&mut self, kept: Kept) {
-        let address = kept.connection.address;
-        self.addresses.entry(address).or_default().push(kept);
+impl IdleConnections {
+    fn put(&mut self, idle: IdleConnection) {
+        let address = idle.connection.address;
+        self.addresses.entry(address).or_default().push(idle);
         self.count += 1;
     }
 
-    fn take(&mut self, address: SocketAddr) -> Option<Kept> {
-        let held = self.addresses.get_mut(&address)?;
-        let kept = held.pop();
-        if held.is_empty() {
+    fn take(&mut self, address: SocketAddr) -> Option<IdleConnection> {
+        let connections = self.addresses.get_mut(&address)?;
+        let newest = connections.pop();
+        if connections.is_empty() {
             self.addresses.remove(&address);
         }
-        self.count -= usize::from(kept.is_some());
-        kept
+        self.count -= usize::from(newest.is_some());
+        newest
     }
 
     fn count_of(&self, address: SocketAddr) -> usize {
         self.addresses.get(&address).map_or(0, Vec::len)
     }
 
-    /// Closes the one that was unused for longest.
+    /// Closes the connection that was idle longest.
     fn close_oldest(&mut self) {
-        let since = |held: &Vec<Kept>| held.first().map(|kept| kept.since);
-        let oldest = self.addresses.iter().min_by_key(|(_, held)| since(held));
+        let since = |list: &Vec<IdleConnection>| list.first().map(|idle| idle.since);
+        let oldest = self.addresses.iter().min_by_key(|(_, list)| since(list));
         let Some(address) = oldest.map(|(address, _)| *address) else {
             return;
         };
-        if let Some(held) = self.addresses.get_mut(&address) {
-            held.remove(0);
+        if let Some(list) = self.addresses.get_mut(&address) {
+            list.remove(0);
             self.count -= 1;
-            if held.is_empty() {
+            if list.is_empty() {
                 self.addresses.remove(&address);
             }
         }
     }
 
-    fn forget(&mut self, address: SocketAddr) {
-        let forgotten = self.addresses.remove(&address);
-        self.count -= forgotten.map_or(0, |held| held.len());
+    fn close_all(&mut self, address: SocketAddr) {
+        let closed = self.addresses.remove(&address);
+        self.count -= closed.map_or(0, |list| list.len());
     }
 }
 
 impl Pool {
-    /// Returns a pool with no connections.
+    /// Returns a pool without connections.
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
@@ -161,14 +162,15 @@
         }
     }
 
-    /// Sends a request to `address` and returns the head of its answer.
+    /// Sends a request to `address` and returns the response with its body
+    /// still to read.
     ///
-    /// A kept connection that turns out closed before anything was written is
-    /// replaced by another one, unseen by the caller.
+    /// If an idle connection turns out to be closed before anything was written,
+    /// the request is sent over another one.
     ///
     /// # Errors
     ///
-    /// Why there is no answer, and whether anything may have been sent.
+    /// Returns why there is no response and whether anything may have been sent.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -177,22 +179,22 @@
     ) -> Result<Exchange, Failure> {
         let mut request = request;
         loop {
-            let (mut connection, is_fresh) = match self.take(address) {
-                Some(kept) => (kept, false),
+            let (mut connection, is_new) = match self.take(address) {
+                Some(idle) => (idle, false),
                 None => (self.connect(address, deadline).await?, true),
             };
             let sent = connection.sender.try_send_request(request);
             match tokio::time::timeout_at(deadline.into(), sent).await {
                 Err(_) => return Err(Failure::TimedOut),
                 Ok(Ok(response)) => {
-                    connection.note_keep(&response);
+                    connection.set_idle_timeout(&response);
                     return Ok(Exchange {
                         response: response.map(Body::incoming),
                         connection,
                     });
                 }
                 Ok(Err(mut error)) => match error.take_message() {
-                    Some(unsent) if !is_fresh => request = unsent,
+                    Some(unsent) if !is_new => request = unsent,
                     Some(_) => {
                         let closed = std::io::ErrorKind::ConnectionReset.into();
                         return Err(Failure::NotSent(closed));
@@ -203,31 +205,31 @@
         }
     }
 
-    /// Returns whether nothing listens at `address` any more. Else the connection that was
-    /// made to find out is kept for the next request.
+    /// Returns whether nothing listens at `address` any more. Otherwise the connection that
+    /// was made for the check is kept for the next request.
     ///
-    /// A process that ends loses its connections and its listener one after the other, so
-    /// one that still accepts is asked again if it closes the connection at once. Only a
-    /// refusal tells: targets that are full accept and close, too.
+    /// The system closes the connections and the listener of a process that ended one after
+    /// the other. So if a connection is accepted and closed at once, a second one is tried.
+    /// Only a refused connection counts, since targets at their limit also accept and close.
     pub async fn is_closed(&self, address: SocketAddr, deadline: Instant) -> bool {
-        let mut made = self.connect(address, deadline).await;
-        if let Ok(connection) = made {
-            tokio::time::sleep(ENDING).await;
+        let mut connected = self.connect(address, deadline).await;
+        if let Ok(connection) = connected {
+            tokio::time::sleep(SOCKET_CLOSE_TIME).await;
             if io::look(&connection.stream) == Idle::Clean {
                 self.put_back(connection);
                 return false;
             }
-            made = self.connect(address, deadline).await;
+            connected = self.connect(address, deadline).await;
         }
-        match made {
+        match connected {
             Err(Failure::NotSent(error)) => error.kind() == std::io::ErrorKind::ConnectionRefused,
             Ok(_) | Err(_) => false,
         }
     }
 
-    /// Takes back a connection whose answer was read to its end.
+    /// Returns a connection to the pool after its response was read to the end.
     pub fn put_back(&self, connection: Connection) {
-        if connection.sender.is_closed() || connection.keep.is_zero() {
+        if connection.sender.is_closed() || connection.idle_timeout.is_zero() {
             return;
         }
         let mut idle = self.idle.lock();
@@ -237,31 +239,31 @@
         if idle.count >= self.settings.total {
             idle.close_oldest();
         }
-        idle.put(Kept {
+        idle.put(IdleConnection {
             connection,
             since: Instant::now(),
         });
     }
 
-    /// Closes what was unused for too long, or has ended.
+    /// Closes the idle connections that expired or that the other end closed.
     pub fn tidy(&self) {
         let now = Instant::now();
         let mut idle = self.idle.lock();
-        idle.addresses.retain(|_, kept| {
-            kept.retain(|kept| kept.is_usable(self.settings.keep, now));
-            !kept.is_empty()
+        idle.addresses.retain(|_, list| {
+            list.retain(|idle| idle.is_usable(self.settings.keep, now));
+            !list.is_empty()
         });
         idle.count = idle.addresses.values().map(Vec::len).sum();
     }
 
-    /// Returns how many connections are unused.
+    /// Returns the number of idle connections.
     pub fn unused(&self) -> usize {
         self.idle.lock().count
     }
 
-    /// Closes all unused connections to `address`.
+    /// Closes all idle connections to `address`.
     pub fn forget(&self, address: SocketAddr) {
-        self.idle.lock().forget(address);
+        self.idle.lock().close_all(address);
     }
 
     fn take(&self, address: SocketAddr) -> Option<Connection> {
@@ -283,45 +285,44 @@
             .map_err(Failure::NotSent)?;
         io::prepare(&stream).map_err(Failure::NotSent)?;
         let (io, stream) = Io::new(stream);
-        let made = http1::handshake::<_, Body>(io).await;
+        let connected = http1::handshake::<_, Body>(io).await;
         let (sender, driver) =
-            made.map_err(|error| Failure::NotSent(std::io::Error::other(error)))?;
-        // How a connection ends, its sender is told as well.
+            connected.map_err(|error| Failure::NotSent(std::io::Error::other(error)))?;
+        // The result is dropped: the sender reports how the connection ends.
         tokio::spawn(async move { drop(driver.await) });
         Ok(Connection {
             address,
             sender,
             stream,
-            keep: self.settings.keep,
+            idle_timeout: self.settings.keep,
         })
     }
 }
 
-impl Kept {
-    fn is_usable(&self, keep: Duration, now: Instant) -> bool {
-        let keep = keep.min(self.connection.keep);
-        let is_young = now.saturating_duration_since(self.since) < keep;
+impl IdleConnection {
+    fn is_usable(&self, idle_timeout: Duration, now: Instant) -> bool {
+        let idle_timeout = idle_timeout.min(self.connection.idle_timeout);
+        let is_recent = now.saturating_duration_since(self.since) < idle_timeout;
         let sender = &self.connection.sender;
-        // A connection that holds bytes already would give them to the next
-        // request as its answer.
-        is_young && sender.is_ready() && io::look(&self.connection.stream) == Idle::Clean
+        // Unread bytes would be taken for the response to the next request.
+        is_recent && sender.is_ready() && io::look(&self.connection.stream) == Idle::Clean
     }
 }
 
 impl Connection {
-    /// Takes the time from a `Keep-Alive: timeout=N` of the answer, less a
-    /// fifth: its other end counts from an earlier moment.
-    fn note_keep(&mut self, response: &Response<Incoming>) {
+    /// Sets the idle timeout from `Keep-Alive: timeout=N` of the response, less a
+    /// fifth since the other end starts counting earlier.
+    fn set_idle_timeout(&mut self, response: &Response<Incoming>) {
         let header = response.headers().get("keep-alive");
         let seconds = header
             .and_then(|value| value.to_str().ok())
             .and_then(|text| {
                 text.split(',')
-                    .find_map(|p| p.trim().strip_prefix("timeout="))
+                    .find_map(|part| part.trim().strip_prefix("timeout="))
             })
             .and_then(|seconds| seconds.trim().parse().ok());
         if let Some(seconds) = seconds {
-            self.keep = Duration::from_secs(seconds) * 4 / 5;
+            self.idle_timeout = Duration::from_secs(seconds) * 4 / 5;
         }
     }
 }
