--- a/src/transport/relay/codec.rs
+++ b/src/transport/relay/codec.rs
@@ -1,9 +1,8 @@
-//! HTTP/1.1 messages of callers, cut from and put into bytes.
+//! Parsing of callers' HTTP/1.1 requests and writing of response heads.
 //!
-//! The heads are parsed by httparse, as hyper does it. What is here is how a
-//! body is delimited, strictly: a message that two programs could cut in two
-//! ways is refused, or a second request could be smuggled in the body of the
-//! first.
+//! Heads are parsed by httparse, as in hyper. This module delimits bodies, and
+//! does so strictly: it rejects a message whose end two programs could place
+//! differently, since such a body could smuggle a second request.
 
 use bytes::{Buf, Bytes, BytesMut};
 use hyper::{
@@ -13,82 +12,82 @@
 
 use crate::transport::relay::body::Body;
 
-/// Headers that a request may have. Callers of both meshes send about ten.
-const HEADERS: usize = 100;
+/// The most headers of a request. Callers of both meshes send about ten.
+const MAX_HEADERS: usize = 100;
 
-/// The longest line that begins a chunk: a size, and extensions that nobody
-/// reads.
-const CHUNK_LINE: usize = 1 << 10;
+/// The longest line of a chunk's size and extensions (which are ignored), and
+/// the longest trailer line, in bytes.
+const MAX_LINE: usize = 1 << 10;
 
-/// The head of a request, and how its body is delimited.
+/// The head of a request and the framing of its body.
 pub struct Head {
     /// The request, without its body.
     pub request: Request<()>,
-    /// Its body.
+    /// How its body is delimited.
     pub framing: Framing,
-    /// Whether the caller lets the connection be used again.
+    /// Whether the caller allows further requests on the connection.
     pub keeps: bool,
-    /// Whether the caller waits for leave to send the body.
+    /// Whether the caller waits for `100 Continue` before it sends the body.
     pub expects: bool,
 }
 
-/// How a body is delimited.
+/// How the body of a request is delimited.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Framing {
-    /// So many bytes.
+    /// By its length in bytes; 0 if there is no body.
     Length(u64),
-    /// By chunks.
+    /// By the chunked transfer encoding.
     Chunked,
 }
 
-/// Bytes that are no request.
+/// The bytes are not a valid request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("{0}")]
 pub struct Error(&'static str);
 
-/// What of a body the bytes at hand hold.
+/// The next piece of a body in the received bytes.
 #[derive(Debug, Eq, PartialEq)]
 pub enum Piece {
-    /// Some of it.
+    /// Bytes of the body.
     Data(Bytes),
-    /// Nothing yet.
+    /// More bytes must be received first.
     Nothing,
-    /// Its end.
+    /// The end of the body.
     End,
 }
 
-/// Cuts a body out of a stream of bytes.
+/// Extracts a body from received bytes.
 #[derive(Clone, Copy, Debug)]
 pub enum Decoder {
-    /// So many bytes are missing.
+    /// This many bytes of the body are left.
     Length(u64),
-    /// The line that begins a chunk comes next.
+    /// The line with a chunk's size comes next.
     ChunkLine,
-    /// So many bytes of a chunk are missing.
+    /// This many bytes of a chunk are left.
     Chunk(u64),
-    /// The end of a chunk's line comes next.
+    /// The line break after a chunk's data comes next.
     ChunkEnd,
-    /// Headers behind the last chunk come next.
+    /// Trailers after the last chunk come next.
     Trailers,
-    /// Nothing is missing.
+    /// The body has ended.
     Done,
 }
 
-/// Takes the head of a request from the start of `bytes`; returns nothing if it
-/// is not all there.
+/// Removes the head of a request from the start of `bytes` and returns it;
+/// returns `None` if it is not complete.
 ///
 /// # Errors
 ///
-/// If it is no request, or its body could be delimited in two ways.
+/// If the bytes are not a request, or its body could be delimited in two ways.
 pub fn head(bytes: &mut BytesMut) -> Result<Option<Head>, Error> {
-    // Empty lines before a request are allowed, and so is their absence.
+    // Empty lines before a request are allowed.
     while bytes.starts_with(b"\r\n") {
         bytes.advance(2);
     }
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
     let status = parsed.parse(bytes);
-    let length = match status.map_err(|_| Error("not HTTP"))? {
+    let length = match status.map_err(|_| Error("the request head is not HTTP/1"))? {
         httparse::Status::Partial => return Ok(None),
         httparse::Status::Complete(length) => length,
     };
@@ -103,23 +102,24 @@
         _ => Version::HTTP_10,
     };
     let method = parsed.method.unwrap_or_default();
-    let method = Method::from_bytes(method.as_bytes()).map_err(|_| Error("no such method"))?;
+    let method =
+        Method::from_bytes(method.as_bytes()).map_err(|_| Error("the method is not valid"))?;
     let uri: Uri = parsed
         .path
         .unwrap_or_default()
         .parse()
-        .map_err(|_| Error("not a path"))?;
+        .map_err(|_| Error("the request target is not valid"))?;
     let mut headers = HeaderMap::with_capacity(parsed.headers.len());
     for field in parsed.headers.iter() {
         let name = HeaderName::from_bytes(field.name.as_bytes());
         let value = HeaderValue::from_bytes(field.value);
         headers.append(
-            name.map_err(|_| Error("not a header's name"))?,
-            value.map_err(|_| Error("not a header's value"))?,
+            name.map_err(|_| Error("a header name is not valid"))?,
+            value.map_err(|_| Error("a header value is not valid"))?,
         );
     }
     let framing = framing(&headers, version)?;
-    let keeps = keeps(&headers, version);
+    let keeps = is_keep_alive(&headers, version);
     let expects = headers
         .get(header::EXPECT)
         .is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"100-continue"));
@@ -141,13 +141,13 @@
     let mut lengths = headers.get_all(header::CONTENT_LENGTH).iter();
     match (codings.next(), lengths.next()) {
         (None, None) => Ok(Framing::Length(0)),
-        (Some(_), Some(_)) => Err(Error("a length and a transfer encoding")),
+        (Some(_), Some(_)) => Err(Error("both content-length and transfer-encoding")),
         (Some(coding), None) => {
             let is_chunked = coding.as_bytes().eq_ignore_ascii_case(b"chunked");
             if is_chunked && codings.next().is_none() && version == Version::HTTP_11 {
                 Ok(Framing::Chunked)
             } else {
-                Err(Error("a transfer encoding other than chunked"))
+                Err(Error("transfer-encoding other than chunked"))
             }
         }
         (None, Some(length)) => {
@@ -155,23 +155,23 @@
             let is_number = !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_digit());
             match digits.parse() {
                 Ok(length) if is_number && lengths.next().is_none() => Ok(Framing::Length(length)),
-                _ => Err(Error("not a length")),
+                _ => Err(Error("content-length is not one number")),
             }
         }
     }
 }
 
-fn keeps(headers: &HeaderMap, version: Version) -> bool {
-    let says = |word: &str| {
+fn is_keep_alive(headers: &HeaderMap, version: Version) -> bool {
+    let has_option = |name: &str| {
         let values = headers.get_all(header::CONNECTION).iter();
         let texts = values.filter_map(|value| value.to_str().ok());
         texts
             .flat_map(|text| text.split(','))
-            .any(|said| said.trim().eq_ignore_ascii_case(word))
+            .any(|option| option.trim().eq_ignore_ascii_case(name))
     };
     match version {
-        Version::HTTP_11 => !says("close"),
-        _ => says("keep-alive"),
+        Version::HTTP_11 => !has_option("close"),
+        _ => has_option("keep-alive"),
     }
 }
 
@@ -185,11 +185,11 @@
         }
     }
 
-    /// Takes the next piece of the body from the start of `bytes`.
+    /// Removes the next piece of the body from the start of `bytes` and returns it.
     ///
     /// # Errors
     ///
-    /// If the chunks are none.
+    /// If the chunked encoding is not valid.
     pub fn next(&mut self, bytes: &mut BytesMut) -> Result<Piece, Error> {
         loop {
             match self {
@@ -201,7 +201,7 @@
                     let count = (*left).min(bytes.len() as u64);
                     *left -= count;
                     if *left == 0 {
-                        *self = self.after();
+                        *self = self.next_state();
                     }
                     return Ok(Piece::Data(bytes.split_to(count as usize).freeze()));
                 }
@@ -219,14 +219,14 @@
                         return Ok(Piece::Nothing);
                     }
                     if !bytes.starts_with(b"\r\n") {
-                        return Err(Error("a chunk does not end where it should"));
+                        return Err(Error("no line break after the data of a chunk"));
                     }
                     bytes.advance(2);
                     *self = Self::ChunkLine;
                 }
                 Self::Trailers => {
-                    let Some(end) = bytes.windows(2).position(|two| two == b"\r\n") else {
-                        return check_line(bytes).map(|()| Piece::Nothing);
+                    let Some(end) = bytes.windows(2).position(|pair| pair == b"\r\n") else {
+                        return check_line_length(bytes).map(|()| Piece::Nothing);
                     };
                     bytes.advance(end + 2);
                     if end == 0 {
@@ -237,7 +237,7 @@
         }
     }
 
-    fn after(self) -> Self {
+    fn next_state(self) -> Self {
         match self {
             Self::Chunk(_) => Self::ChunkEnd,
             _ => Self::Done,
@@ -251,31 +251,31 @@
             bytes.advance(length);
             Ok(Some(size))
         }
-        Ok(httparse::Status::Partial) => check_line(bytes).map(|()| None),
-        Err(_) => Err(Error("not a chunk")),
+        Ok(httparse::Status::Partial) => check_line_length(bytes).map(|()| None),
+        Err(_) => Err(Error("the size of a chunk is not valid")),
     }
 }
 
-fn check_line(bytes: &BytesMut) -> Result<(), Error> {
-    if bytes.len() > CHUNK_LINE {
-        return Err(Error("a line between chunks is too long"));
+fn check_line_length(bytes: &BytesMut) -> Result<(), Error> {
+    if bytes.len() > MAX_LINE {
+        return Err(Error("a chunk size line or a trailer is too long"));
     }
     Ok(())
 }
 
-/// How the body of an answer is delimited.
+/// How the body of a response is delimited.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Ending {
-    /// There is none, or its length is told.
+    /// By its length, or there is no body.
     Told,
-    /// By chunks.
+    /// By the chunked transfer encoding.
     Chunks,
     /// By the end of the connection.
     Close,
 }
 
-/// Writes the head of an answer to a request of `method` and `version` into
-/// `out`; returns how its body ends.
+/// Writes the head of the response to a request of `method` and `version` to
+/// `out` and returns how its body is delimited.
 pub fn write_head(
     response: &Response<Body>,
     method: &Method,
@@ -289,7 +289,7 @@
     out.extend_from_slice(format!("HTTP/1.1 {} {reason}\r\n", status.as_u16()).as_bytes());
     let has_body = *method != Method::HEAD && may_have_body(status);
     for (name, value) in response.headers() {
-        // A HEAD's answer tells the length of a body that does not come.
+        // The response to HEAD keeps its content-length but has no body.
         let is_length = name == header::CONTENT_LENGTH;
         if name == header::TRANSFER_ENCODING || (is_length && has_body) {
             continue;
@@ -317,7 +317,7 @@
     ending
 }
 
-/// Returns whether an answer of this status may have a body.
+/// Returns whether a response with this status may have a body.
 pub fn may_have_body(status: StatusCode) -> bool {
     !status.is_informational()
         && status != StatusCode::NO_CONTENT
