--- a/src/transport/relay/body.rs
+++ b/src/transport/relay/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and answers: whole, or in pieces as they come.
+//! Bodies of requests and responses, buffered or streamed.
 
 use std::{
     any::Any,
@@ -21,78 +21,79 @@
     time::Sleep,
 };
 
-/// The error of a body that ends early. It ends the connection too, so that
-/// nobody takes what came for the whole.
+/// The error of a body that ends early. It also closes the connection, so that
+/// a partial body is not mistaken for the whole.
 pub type Fault = Box<dyn Error + Send + Sync>;
 
-/// A body.
+/// The body of a request or response.
 pub struct Body {
     first: Option<Bytes>,
     rest: Option<Rest>,
     deadline: Option<Pin<Box<Sleep>>>,
-    /// Nothing is given before this has come.
-    leave: Option<oneshot::Receiver<()>>,
+    /// Nothing is sent before this signal.
+    permission: Option<oneshot::Receiver<()>>,
     limit: Option<Limit>,
-    /// Kept until the body has ended.
-    _held: Option<Box<dyn Any + Send + Sync>>,
+    /// Dropped with the body.
+    _guard: Option<Box<dyn Any + Send + Sync>>,
 }
 
-/// How much more may come of a body.
+/// The limit of a body's length.
 struct Limit {
+    /// Bytes that may still be received.
     left: u64,
-    /// Set once more than that came.
-    passed: Arc<AtomicBool>,
+    /// Set once the body exceeds the limit.
+    is_exceeded: Arc<AtomicBool>,
 }
 
-/// What is still to come of a body.
+/// The part of a body that is still to be received.
 enum Rest {
     Incoming(Incoming),
-    Fed(Feed),
+    Channel(Channel),
 }
 
-/// Pieces that a caller's connection feeds in. An empty one is the end; without
-/// it the body broke off.
-struct Feed {
+/// Pieces that the reader of a caller's connection sends. An empty piece is the
+/// end; if the channel closes without one, the body was interrupted.
+struct Channel {
     pieces: mpsc::Receiver<Bytes>,
-    /// Bytes that are missing, if the length was told.
+    /// Bytes still to be received, if the length is known.
     left: Option<u64>,
-    ended: bool,
+    has_ended: bool,
 }
 
-/// What was read of a body.
+/// The result of reading a body.
 pub enum Read {
-    /// All of it.
+    /// The whole body.
     Whole(Bytes),
-    /// Its start, and the rest.
+    /// The start of a body that is not buffered whole, and the rest.
     Start(Bytes, Body),
 }
 
-/// Why a body was not read.
+/// Why a body could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// It stood still for too long.
+    /// Nothing was received for too long.
     #[error("body stood still")]
     Still,
-    /// It broke off.
+    /// The body ended early.
     #[error("body broke off")]
     Broken(#[source] Fault),
 }
 
 impl Body {
-    /// Returns a body that is all there.
+    /// Returns a body of `bytes`.
     pub fn whole(bytes: impl Into<Bytes>) -> Self {
         let bytes = bytes.into();
         Self {
             first: Some(bytes).filter(|bytes| !bytes.is_empty()),
             rest: None,
             deadline: None,
-            leave: None,
+            permission: None,
             limit: None,
-            _held: None,
+            _guard: None,
         }
     }
 
-    /// Returns the body of a message that hyper reads.
+    /// Returns the body of a message that hyper receives.
     pub fn incoming(incoming: Incoming) -> Self {
         Self {
             rest: Some(Rest::Incoming(incoming)).filter(|rest| !rest.is_end()),
@@ -100,21 +101,21 @@
         }
     }
 
-    /// Returns a body of `length`, if it is told, whose pieces come through a
-    /// channel; an empty piece ends it.
+    /// Returns a body whose pieces come from a channel; an empty piece ends it.
+    /// `length` is its length, if known.
     pub fn fed(pieces: mpsc::Receiver<Bytes>, length: Option<u64>) -> Self {
-        let feed = Feed {
+        let channel = Channel {
             pieces,
             left: length,
-            ended: false,
+            has_ended: false,
         };
         Self {
-            rest: Some(Rest::Fed(feed)),
+            rest: Some(Rest::Channel(channel)),
             ..Self::whole("")
         }
     }
 
-    /// Returns a body whose start is there; the `rest` must come by `deadline`.
+    /// Returns a body of `first` and `rest`; the rest must be received by `deadline`.
     pub fn streamed(first: Bytes, rest: Self, deadline: Instant) -> Self {
         Self {
             first: Some(first).filter(|first| !first.is_empty()),
@@ -123,54 +124,58 @@
         }
     }
 
-    /// Returns how many bytes there are in all, if that is known.
+    /// Returns the length in bytes, if known.
     pub fn length(&self) -> Option<usize> {
         let exact = http_body::Body::size_hint(self).exact();
         exact.and_then(|length| usize::try_from(length).ok())
     }
 
-    /// Returns the bytes of a body that is all there.
+    /// Returns the bytes of a body that is wholly buffered.
     pub fn known(&self) -> Option<&[u8]> {
         let bytes = self.first.as_deref().unwrap_or_default();
         self.is_whole().then_some(bytes)
     }
 
-    /// Returns whether nothing of it is still to come.
+    /// Returns whether the body is wholly buffered.
     pub fn is_whole(&self) -> bool {
         self.rest.is_none()
     }
 
-    /// Gives nothing until `leave` has come. Without it nobody takes the body, and
-    /// the connection ends.
-    pub fn after(self, leave: oneshot::Receiver<()>) -> Self {
+    /// Returns the body, which sends nothing before `permission`. If the sender of
+    /// `permission` is dropped, the body fails and the connection closes.
+    pub fn after(self, permission: oneshot::Receiver<()>) -> Self {
         Self {
-            leave: Some(leave),
+            permission: Some(permission),
             ..self
         }
     }
 
-    /// Breaks off and sets `passed` once more than `most` bytes come.
-    pub fn limited(self, most: u64, passed: Arc<AtomicBool>) -> Self {
+    /// Returns the body with a limit of `max` bytes. Beyond it the body fails and
+    /// sets `is_exceeded`.
+    pub fn limited(self, max: u64, is_exceeded: Arc<AtomicBool>) -> Self {
         Self {
-            limit: Some(Limit { left: most, passed }),
+            limit: Some(Limit {
+                left: max,
+                is_exceeded,
+            }),
             ..self
         }
     }
 
-    /// Keeps `held` until the body has ended.
-    pub fn holding(self, held: impl Any + Send + Sync) -> Self {
+    /// Returns the body, which drops `guard` when it is dropped itself.
+    pub fn holding(self, guard: impl Any + Send + Sync) -> Self {
         Self {
-            _held: Some(Box::new(held)),
+            _guard: Some(Box::new(guard)),
             ..self
         }
     }
 }
 
 impl Body {
-    fn count(&mut self, data: Bytes) -> Result<Frame<Bytes>, Fault> {
+    fn check_limit(&mut self, data: Bytes) -> Result<Frame<Bytes>, Fault> {
         if let Some(limit) = &mut self.limit {
             let Some(left) = limit.left.checked_sub(data.len() as u64) else {
-                limit.passed.store(true, Ordering::Relaxed);
+                limit.is_exceeded.store(true, Ordering::Relaxed);
                 return Err("the body is larger than the limit".into());
             };
             limit.left = left;
@@ -187,30 +192,34 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Fault>>> {
-        if let Some(leave) = &mut self.leave {
-            match Pin::new(leave).poll(cx) {
+        if let Some(permission) = &mut self.permission {
+            match Pin::new(permission).poll(cx) {
                 Poll::Pending => return Poll::Pending,
-                Poll::Ready(Ok(())) => self.leave = None,
+                Poll::Ready(Ok(())) => self.permission = None,
                 Poll::Ready(Err(_)) => {
-                    return Poll::Ready(Some(Err("the other node takes no body".into())));
+                    return Poll::Ready(Some(
+                        Err("the other node does not accept the body".into()),
+                    ));
                 }
             }
         }
         if let Some(first) = self.first.take() {
-            return Poll::Ready(Some(self.count(first)));
+            return Poll::Ready(Some(self.check_limit(first)));
         }
         if let Some(deadline) = &mut self.deadline
             && deadline.as_mut().poll(cx).is_ready()
         {
             self.rest = None;
-            return Poll::Ready(Some(Err("the deadline passed amid the body".into())));
+            return Poll::Ready(Some(Err(
+                "the deadline passed before the end of the body".into()
+            )));
         }
         let Some(rest) = &mut self.rest else {
             return Poll::Ready(None);
         };
         let frame = std::task::ready!(rest.poll(cx));
         Poll::Ready(frame.map(|frame| match frame?.into_data() {
-            Ok(data) => self.count(data),
+            Ok(data) => self.check_limit(data),
             Err(other) => Ok(other),
         }))
     }
@@ -238,33 +247,33 @@
                 let frame = Pin::new(incoming).poll_frame(cx);
                 frame.map(|frame| frame.map(|frame| frame.map_err(Into::into)))
             }
-            Self::Fed(feed) => feed.poll(cx),
+            Self::Channel(channel) => channel.poll(cx),
         }
     }
 
     fn is_end(&self) -> bool {
         match self {
             Self::Incoming(incoming) => incoming.is_end_stream(),
-            Self::Fed(feed) => feed.ended,
+            Self::Channel(channel) => channel.has_ended,
         }
     }
 
     fn exact(&self) -> Option<u64> {
         match self {
             Self::Incoming(incoming) => incoming.size_hint().exact(),
-            Self::Fed(feed) => feed.left,
+            Self::Channel(channel) => channel.left,
         }
     }
 }
 
-impl Feed {
+impl Channel {
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Fault>>> {
-        if self.ended {
+        if self.has_ended {
             return Poll::Ready(None);
         }
         self.pieces.poll_recv(cx).map(|piece| match piece {
             Some(piece) if piece.is_empty() => {
-                self.ended = true;
+                self.has_ended = true;
                 None
             }
             Some(piece) => {
@@ -272,16 +281,19 @@
                 self.left = self.left.map(|left| left.saturating_sub(len));
                 Some(Ok(Frame::data(piece)))
             }
-            None => Some(Err("the caller left amid the body".into())),
+            None => Some(Err(
+                "the caller closed the connection before the end of the body".into(),
+            )),
         })
     }
 }
 
-/// Reads a body up to `max` bytes, each piece within `idle`.
+/// Reads a body until its end or until more than `max` bytes are received.
+/// Each piece must be received within `idle`.
 ///
 /// # Errors
 ///
-/// If it stands still or breaks off.
+/// If nothing is received for `idle`, or the body ends early.
 pub async fn read(mut body: Body, max: usize, idle: Duration) -> Result<Read, ReadError> {
     if body.is_end_stream() {
         return Ok(Read::Whole(Bytes::new()));
@@ -304,7 +316,7 @@
     }
 }
 
-/// Pieces of a body; a single one is never copied.
+/// The pieces of a body. A single piece is not copied when they are joined.
 #[derive(Default)]
 struct Pieces {
     pieces: Vec<Bytes>,
