--- a/src/transport/relay/control.rs
+++ b/src/transport/relay/control.rs
@@ -1,5 +1,5 @@
-//! What a host process answers besides requests: questions of peers, calls of
-//! the target, readiness checks, metrics.
+//! Everything that a host process serves besides callers' requests: requests of
+//! peers and operators, calls of the target, readiness checks and metrics.
 
 use std::{
     net::SocketAddr,
@@ -37,100 +37,106 @@
     },
 };
 
-/// How connections to other nodes' control addresses are made and kept.
-const POOL: Settings = Settings {
+/// Settings of the connections to the control addresses of peers.
+const POOL_SETTINGS: Settings = Settings {
     connect: Duration::from_millis(250),
     keep: Duration::from_secs(12),
     kept: 2,
     total: 16,
 };
 
-/// How long a peer may take to answer a question: it answers from memory.
-const ANSWER: Duration = Duration::from_millis(500);
+/// How long a peer may take to respond, which it does from memory.
+const PEER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The largest answer of a peer: members of a fleet of 13,000 at 400 bytes each.
-const MAX_ANSWER: usize = 8 << 20;
+/// The largest message from a peer, in bytes: the members of a fleet of 13,000 take 400 bytes
+/// each.
+const MAX_PEER_MESSAGE: usize = 8 << 20;
 
-/// The largest call of a target; heartbeats are a few hundred bytes.
+/// The largest other request, in bytes; heartbeats of targets are a few hundred bytes.
 const MAX_CALL: usize = 16 << 10;
 
-/// How long a target is made to wait for its acknowledgement while the store has
-/// not taken what it says. A target waits a second in all.
-const WRITE: Duration = Duration::from_millis(700);
+/// How long the acknowledgement of a target's call waits until its state is written
+/// to the store. A target waits for 1 s in all.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// How long a call's body may stand still.
-const CALL_IDLE: Duration = Duration::from_secs(1);
+/// The longest pause within the body of a target's call.
+const CALL_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Where peers ask for the version of the routes.
+/// The path that returns the routes to peers, as a change from the version that they have.
 const ROUTES: &str = "/routes";
 
-/// Where peers ask for the members.
+/// The path that returns to peers the members that they lack.
 const MEMBERS: &str = "/members";
 
-/// Where peers ask how far this node is.
+/// The path that returns the progress of this node to peers.
 const SEEN: &str = "/seen";
 
-/// Where peers tell what they read.
+/// The path where peers deliver the records that they read from the store.
 const NEWS: &str = "/news";
 
-/// Where operators ask how roll-outs stand.
+/// The path that returns the states of roll-outs to operators.
 const ROLLOUTS: &str = "/rollouts";
 
-/// Where operators ask what is held back.
+/// The path that returns the quarantined requests to operators.
 const HELD: &str = "/held";
 
-/// Where operators let a request go that is held back.
+/// The path where operators release a quarantined request.
 const LET_GO: &str = "/let-go";
 
-/// Returns the way to ask other nodes.
+/// Returns a function that sends requests to peers.
 pub fn ask() -> Ask {
-    let pool = Arc::new(Pool::new(POOL));
-    Arc::new(move |address, question| {
+    let pool = Arc::new(Pool::new(POOL_SETTINGS));
+    Arc::new(move |address, request| {
         let pool = pool.clone();
-        async move { ask_one(&pool, address, question).await }.boxed()
+        async move { call_peer(&pool, address, request).await }.boxed()
     })
 }
 
-async fn ask_one(pool: &Pool, address: SocketAddr, question: Question) -> Result<Bytes, Error> {
-    let (path, body) = match question {
+async fn call_peer(pool: &Pool, address: SocketAddr, request: Question) -> Result<Bytes, Error> {
+    let (path, body) = match request {
         Question::Routes(base) => (ROUTES, encode(&base)),
         Question::Members(marks) => (MEMBERS, encode(&marks)),
         Question::Seen => (SEEN, Bytes::new()),
         Question::Take(news) => (NEWS, encode(&news)),
     };
-    let whom = || address.to_string();
+    let peer = || address.to_string();
     let mut request = Request::new(Body::whole(body));
     *request.method_mut() = Method::POST;
     *request.uri_mut() = hyper::Uri::from_static(path);
-    let deadline = Instant::now() + ANSWER;
+    let deadline = Instant::now() + PEER_TIMEOUT;
     let sent = pool.send(address, request, deadline).await;
     let exchange = sent.map_err(|failure| {
         if failure.is_silence() {
-            Error::NoAnswer(whom())
+            Error::NoAnswer(peer())
         } else {
-            Error::Unreachable(whom())
+            Error::Unreachable(peer())
         }
     })?;
     if exchange.response.status() != StatusCode::OK {
-        return Err(Error::Unexpected(whom()));
+        return Err(Error::Unexpected(peer()));
     }
-    let read = body::read(exchange.response.into_body(), MAX_ANSWER, ANSWER).await;
+    let read = body::read(
+        exchange.response.into_body(),
+        MAX_PEER_MESSAGE,
+        PEER_TIMEOUT,
+    )
+    .await;
     match read {
         Ok(Read::Whole(bytes)) => {
             pool.put_back(exchange.connection);
             Ok(bytes)
         }
-        Ok(Read::Start(..)) | Err(_) => Err(Error::Unexpected(whom())),
+        Ok(Read::Start(..)) | Err(_) => Err(Error::Unexpected(peer())),
     }
 }
 
 fn encode(value: &impl serde::Serialize) -> Bytes {
     rmp_serde::to_vec_named(value)
-        .expect("plain data always encodes")
+        .expect("a message to a peer always encodes")
         .into()
 }
 
-/// Returns the handler of other nodes' questions.
+/// Returns the handler of requests from peers and operators.
 pub fn peers(host: Arc<Host>, ask: Ask) -> Handler {
     Arc::new(move |request: Request<Body>| {
         let (host, ask) = (host.clone(), ask.clone());
@@ -151,7 +157,7 @@
 }
 
 async fn routes(host: &Host, body: Body) -> Response<Body> {
-    let read = body::read(body, MAX_CALL, ANSWER).await;
+    let read = body::read(body, MAX_CALL, PEER_TIMEOUT).await;
     let Ok(Read::Whole(bytes)) = read else {
         return plain(StatusCode::BAD_REQUEST);
     };
@@ -165,17 +171,17 @@
 }
 
 async fn members(host: &Host, body: Body) -> Response<Body> {
-    let read = body::read(body, MAX_CALL, ANSWER).await;
+    let read = body::read(body, MAX_CALL, PEER_TIMEOUT).await;
     let Ok(Read::Whole(bytes)) = read else {
         return plain(StatusCode::BAD_REQUEST);
     };
-    // Without marks everything differs.
+    // Marks that can't be decoded count as none, so that all members are sent.
     let marks: Vec<u32> = rmp_serde::from_slice(&bytes).unwrap_or_default();
     Response::new(Body::whole(source::members(host, &marks)))
 }
 
 async fn news(host: &Arc<Host>, ask: &Ask, body: Body) -> Response<Body> {
-    let read = body::read(body, MAX_ANSWER, ANSWER).await;
+    let read = body::read(body, MAX_PEER_MESSAGE, PEER_TIMEOUT).await;
     let Ok(Read::Whole(bytes)) = read else {
         return plain(StatusCode::BAD_REQUEST);
     };
@@ -189,7 +195,7 @@
 }
 
 async fn let_go(host: &Host, body: Body) -> Response<Body> {
-    let read = body::read(body, MAX_CALL, ANSWER).await;
+    let read = body::read(body, MAX_CALL, PEER_TIMEOUT).await;
     let Ok(Read::Whole(bytes)) = read else {
         return plain(StatusCode::BAD_REQUEST);
     };
@@ -200,11 +206,11 @@
 }
 
 fn json(value: &impl serde::Serialize) -> Response<Body> {
-    let body = serde_json::to_vec(value).expect("plain data always encodes");
-    acknowledged(body.into())
+    let body = serde_json::to_vec(value).expect("a response to an operator always encodes");
+    json_response(body.into())
 }
 
-/// Returns the handler of readiness checks, whatever path they ask for.
+/// Returns the handler of readiness checks, which ignores the path.
 pub fn ready(host: Arc<Host>, phase: watch::Receiver<Phase>) -> Handler {
     Arc::new(move |_| {
         let is_ready = host.is_ready() && *phase.borrow() == Phase::Serving;
@@ -217,31 +223,31 @@
     })
 }
 
-/// Returns the handler that shows metrics, whatever path is asked for.
+/// Returns the handler that returns metrics, which ignores the path.
 pub fn metrics(host: Arc<Host>) -> Handler {
     Arc::new(move |_| {
         let mut response = Response::new(Body::whole(host.metrics()));
-        let kind = HeaderValue::from_static("application/openmetrics-text; version=1.0.0");
-        response.headers_mut().insert(CONTENT_TYPE, kind);
+        let content_type = HeaderValue::from_static("application/openmetrics-text; version=1.0.0");
+        response.headers_mut().insert(CONTENT_TYPE, content_type);
         std::future::ready(response).boxed()
     })
 }
 
-/// Returns the handler of the target's calls.
+/// Returns the handler of the target's heartbeats and leave calls.
 pub fn targets(host: Arc<Host>, written: watch::Receiver<Written>) -> Handler {
     Arc::new(move |request| {
         let (host, written) = (host.clone(), written.clone());
-        async move { announced(host, written, request).await }.boxed()
+        async move { target_call(host, written, request).await }.boxed()
     })
 }
 
-async fn announced(
+async fn target_call(
     host: Arc<Host>,
     mut written: watch::Receiver<Written>,
     request: Request<Body>,
 ) -> Response<Body> {
     let (head, incoming) = request.into_parts();
-    let body = match body::read(incoming, MAX_CALL, CALL_IDLE).await {
+    let body = match body::read(incoming, MAX_CALL, CALL_IDLE_TIMEOUT).await {
         Ok(Read::Whole(bytes)) => bytes,
         Ok(Read::Start(..)) => return plain(StatusCode::PAYLOAD_TOO_LARGE),
         Err(_) => return plain(StatusCode::BAD_REQUEST),
@@ -253,12 +259,12 @@
     let message = match message.map_err(|error| crate::logging::chain(&error)) {
         Ok(Message::Heartbeat(heartbeat)) if heartbeat.service != *host.service() => {
             let why = format!("its service is {}", heartbeat.service);
-            return refused(&host, &why);
+            return reject_call(&host, &why);
         }
         Ok(message) => message,
-        Err(why) => return refused(&host, &why),
+        Err(why) => return reject_call(&host, &why),
     };
-    let change = take(&host, &message);
+    let change = apply(&host, &message);
     if change == Change::Told {
         note!(
             host.journal,
@@ -272,21 +278,22 @@
         let local = host.local.lock();
         (local.is_leaving(), local.is_recalled())
     };
-    let leaves = is_leaving || matches!(message, Message::Leave(_));
-    if leaves && !is_recalled {
-        // What it leaves may stand in the store as ready; asked again, it will
-        // be known here.
+    let is_leave = is_leaving || matches!(message, Message::Leave(_));
+    if is_leave && !is_recalled {
+        // The store may still list the target as ready, and this node has not yet
+        // restored its state. It will have when the target repeats the call.
         return plain(StatusCode::SERVICE_UNAVAILABLE);
     }
     if is_leaving && !is_written(&host, &mut written).await {
-        // Not kept, so not acknowledged: the target asks again.
+        // The state is not in the store, so it is not acknowledged and the target
+        // repeats the call.
         return plain(StatusCode::SERVICE_UNAVAILABLE);
     }
-    acknowledged(host.words.acknowledgement.clone())
+    json_response(host.words.acknowledgement.clone())
 }
 
-/// Refuses a call that is none of the target's here: it changes nothing.
-fn refused(host: &Host, why: &str) -> Response<Body> {
+/// Rejects an invalid call, or one of a target of another service, without a change of state.
+fn reject_call(host: &Host, why: &str) -> Response<Body> {
     host.count_unusable("heartbeat");
     note!(
         host.journal,
@@ -297,7 +304,7 @@
     plain(StatusCode::BAD_REQUEST)
 }
 
-fn take(host: &Host, message: &Message) -> Change {
+fn apply(host: &Host, message: &Message) -> Change {
     let mut local = host.local.lock();
     match message {
         Message::Heartbeat(heartbeat) => local.hear(heartbeat, Instant::now()),
@@ -305,18 +312,18 @@
     }
 }
 
-/// Waits until the store has what the target said last.
+/// Waits until the latest state of the target is in the store; returns whether it is.
 async fn is_written(host: &Host, written: &mut watch::Receiver<Written>) -> bool {
-    let told = host.local.lock().told();
-    let is_there = written.wait_for(|written| written.targets.as_ref() == Some(&told));
-    tokio::time::timeout(WRITE, is_there)
+    let announced = host.local.lock().told();
+    let matching = written.wait_for(|written| written.targets.as_ref() == Some(&announced));
+    tokio::time::timeout(WRITE_TIMEOUT, matching)
         .await
-        .is_ok_and(|is_there| is_there.is_ok())
+        .is_ok_and(|matching| matching.is_ok())
 }
 
-fn acknowledged(body: Bytes) -> Response<Body> {
+fn json_response(body: Bytes) -> Response<Body> {
     let mut response = Response::new(Body::whole(body));
-    let json = HeaderValue::from_static("application/json");
-    response.headers_mut().insert(CONTENT_TYPE, json);
+    let content_type = HeaderValue::from_static("application/json");
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
     response
 }
