--- a/src/transport/relay/serve.rs
+++ b/src/transport/relay/serve.rs
@@ -1,4 +1,4 @@
-//! Servers of the relay: connections, their limits and their end.
+//! The servers of the relay: accepting, limiting and closing connections.
 
 use std::{
     io,
@@ -27,53 +27,55 @@
     },
 };
 
-/// Answers a request.
+/// Responds to a request.
 pub type Handler = Arc<dyn Fn(Request<Body>) -> BoxFuture<'static, Response<Body>> + Send + Sync>;
 
 /// Returns the limits for a new connection.
 pub type LimitsNow = Arc<dyn Fn() -> Limits + Send + Sync>;
 
-/// The smallest buffer that hyper allows.
+/// The smallest buffer that hyper allows, in bytes.
 const MIN_BUFFER: usize = 8 << 10;
 
-/// How long the server rests when the system gives it no connection (no
-/// descriptors are left): long against an accept, short against a deadline.
+/// The pause of the server when it can accept no connection (at its limit, or
+/// the process has no file descriptors left), and the interval at which a
+/// closing server counts its connections. Long against an accept, short against
+/// a deadline.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// How far a process has come with its end.
+/// The phases of a process, up to its shutdown.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Phase {
-    /// It serves.
+    /// It serves requests.
     Serving,
-    /// It still serves whoever comes, but says that it is not ready.
+    /// It still serves requests, but reports that it is not ready.
     Leaving,
-    /// It takes no new connections and ends those that are unused.
+    /// It accepts no new connections and closes idle ones.
     Closing,
 }
 
-/// Whose connections a server takes.
+/// Whose connections a server accepts.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Whose {
-    /// Callers', with several requests under way on each.
+    /// Those of callers, with several requests at a time on each.
     Callers,
-    /// Nodes', targets' and the platform's, one request at a time.
+    /// Those of nodes, targets and the platform, with one request at a time on each.
     Others,
 }
 
-/// A server, with what it has in hand.
+/// A server and the state of its connections.
 #[derive(Clone)]
 pub struct Server {
-    /// Whose connections it takes.
+    /// Whose connections it accepts.
     pub whose: Whose,
-    /// Answers requests.
+    /// Responds to requests.
     pub handler: Handler,
     /// The limits of new connections.
     pub limits: LimitsNow,
-    /// How far the process has come with its end.
+    /// The phase of the process.
     pub phase: watch::Receiver<Phase>,
-    /// Connections at a time; more wait to be accepted.
+    /// The most open connections; further ones wait to be accepted.
     pub most: usize,
-    /// Connections now.
+    /// The number of open connections.
     pub open: Arc<AtomicUsize>,
 }
 
@@ -81,7 +83,7 @@
 ///
 /// # Errors
 ///
-/// If the address is taken or not this host's.
+/// If the address is in use or does not belong to this host.
 pub fn bind(address: SocketAddr) -> Result<std::net::TcpListener, crate::transport::Error> {
     let bound = std::net::TcpListener::bind(address).and_then(|listener| {
         listener.set_nonblocking(true)?;
@@ -91,7 +93,7 @@
 }
 
 impl Server {
-    /// Serves until the process closes and every connection has ended.
+    /// Serves until the phase is [`Phase::Closing`] and every connection has ended.
     ///
     /// # Errors
     ///
@@ -121,14 +123,14 @@
         self.open.fetch_add(1, Ordering::Relaxed);
         let server = self.clone();
         tokio::spawn(async move {
-            server.connection(stream).await;
+            server.serve_connection(stream).await;
             server.open.fetch_sub(1, Ordering::Relaxed);
         });
     }
 
-    async fn connection(&self, stream: TcpStream) {
+    async fn serve_connection(&self, stream: TcpStream) {
         if prepare(&stream).is_err() {
-            // The caller has gone already.
+            // The other end closed the connection already.
             return;
         }
         if self.whose == Whose::Callers {
@@ -143,20 +145,20 @@
         let (io, _) = Io::new(stream);
         let handler = self.handler.clone();
         let service = service_fn(move |request: Request<Incoming>| {
-            let answer = handler(request.map(Body::incoming));
-            async move { Ok::<_, std::convert::Infallible>(answer.await) }
+            let response = handler(request.map(Body::incoming));
+            async move { Ok::<_, std::convert::Infallible>(response.await) }
         });
         let head = limits.head.as_bytes() as usize;
         let connection = Builder::new()
             .timer(TokioTimer::new())
-            // hyper counts the time before the first byte as well.
+            // hyper includes the time before the first byte, so this is the idle timeout.
             .header_read_timeout(limits.idle_timeout.duration())
             .max_buf_size(head.max(MIN_BUFFER))
             .serve_connection(io, service);
         let mut connection = std::pin::pin!(connection);
         let mut phase = self.phase.clone();
-        // A connection that breaks is its caller's matter; the handler, if any,
-        // has been dropped by then.
+        // An error of the connection is ignored: its client notices it, and the
+        // handler of a request under way has been dropped.
         tokio::select! {
             _ = connection.as_mut() => return,
             _ = phase.wait_for(|phase| *phase == Phase::Closing) => {}
