--- a/src/transport/relay/io.rs
+++ b/src/transport/relay/io.rs
@@ -1,4 +1,4 @@
-//! A TCP stream that hyper drives and its owner can still look at.
+//! A TCP stream for hyper that its owner can still inspect.
 
 use std::{
     io,
@@ -13,65 +13,65 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
-/// Bytes read at a time. Requests and answers of both meshes are 0.4 to 9 KB;
-/// uploads take several reads.
-const READ: usize = 16 << 10;
+/// The most bytes taken by one read. Requests and responses of both meshes are
+/// 0.4 to 9 KB; uploads take several reads.
+const READ_SIZE: usize = 16 << 10;
 
-/// How long sent bytes may stay unacknowledged before the connection is given
-/// up: hundreds of round trips within a region, and short against deadlines of
-/// 1.5 s and more.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(1000);
+/// How long sent bytes may stay unacknowledged before the connection is closed:
+/// hundreds of round trips within a region, and short against deadlines, which
+/// are 1.5 s or more.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// How long a connection may be silent before the other host is asked whether it
-/// is still there.
-const KEEPALIVE: Duration = Duration::from_secs(1);
+/// How long a connection may be idle before the first TCP keepalive probe, and
+/// the interval between probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Unanswered questions after which it is given up.
+/// Unanswered keepalive probes after which the connection is closed.
 const KEEPALIVE_PROBES: u32 = 2;
 
-/// One end of a connection.
+/// A TCP stream as hyper reads and writes it.
 pub struct Io {
     stream: Arc<TcpStream>,
 }
 
-/// What an unused connection holds.
+/// The state of an idle connection.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Idle {
-    /// Nothing: it can be used.
+    /// No unread bytes: it can be reused.
     Clean,
-    /// Bytes that belong to no request.
+    /// Unread bytes that belong to no request.
     Bytes,
-    /// Its end, or an error.
+    /// Closed by the other end, or failed.
     Ended,
 }
 
 impl Io {
-    /// Returns an end of `stream`, with a handle to look at it.
+    /// Returns `stream` for hyper, and a handle to inspect it.
     pub fn new(stream: TcpStream) -> (Self, Arc<TcpStream>) {
         let stream = Arc::new(stream);
-        let held = stream.clone();
-        (Self { stream }, held)
+        let handle = stream.clone();
+        (Self { stream }, handle)
     }
 }
 
-/// Sets what every connection of ours has: no delay of small writes, and an end
-/// once the other host is gone without a word.
+/// Sets the options of every connection: small writes are sent without delay,
+/// and the connection ends once the other host no longer responds.
 ///
 /// # Errors
 ///
-/// Those of the system.
+/// If the system rejects an option.
 pub fn prepare(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
     let keepalive = TcpKeepalive::new()
-        .with_time(KEEPALIVE)
-        .with_interval(KEEPALIVE)
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(KEEPALIVE_PROBES);
     socket.set_tcp_keepalive(&keepalive)
 }
 
-/// Looks at an unused connection without taking anything from it.
+/// Returns the state of an idle connection without reading from it.
 pub fn look(stream: &TcpStream) -> Idle {
     let mut byte = [MaybeUninit::uninit()];
     match SockRef::from(stream).peek(&mut byte) {
@@ -88,11 +88,11 @@
         cx: &mut Context<'_>,
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        let mut bytes = [0; READ];
-        let room = buf.remaining().min(READ);
+        let mut bytes = [0; READ_SIZE];
+        let len = buf.remaining().min(READ_SIZE);
         loop {
             ready!(self.stream.poll_read_ready(cx))?;
-            match self.stream.try_read(&mut bytes[..room]) {
+            match self.stream.try_read(&mut bytes[..len]) {
                 Ok(count) => {
                     buf.put_slice(&bytes[..count]);
                     return Poll::Ready(Ok(()));
@@ -128,13 +128,13 @@
     fn poll_write_vectored(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-        pieces: &[io::IoSlice<'_>],
+        slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.stream.poll_write_ready(cx))?;
-            match self.stream.try_write_vectored(pieces) {
+            match self.stream.try_write_vectored(slices) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                done => return Poll::Ready(done),
+                result => return Poll::Ready(result),
             }
         }
     }
