--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -1,5 +1,5 @@
-//! The parts of a host process, each alone: routes, split, gate, balance,
-//! allowance, the target's memory, callers' connections, kept connections.
+//! Tests of single components of a host process: routes, traffic split, gate, load balancing,
+//! retry budget, state of the target, callers' connections, connection pool.
 
 mod support;
 
@@ -90,12 +90,12 @@
     routing::Table::new(3, routes, vec![name("a"), name("b")], Limits::default())
 }
 
-/// Looks through all routes: slow, and plainly right.
-fn naive_find<'a>(routes: &'a [Route], host: &str, path: &str) -> Option<&'a Route> {
-    let fits = routes
+/// Returns the longest matching prefix by a linear search through all routes.
+fn linear_find<'a>(routes: &'a [Route], host: &str, path: &str) -> Option<&'a Route> {
+    let matches = routes
         .iter()
         .filter(|r| r.host == host && path.starts_with(&r.prefix));
-    fits.max_by_key(|r| r.prefix.len())
+    matches.max_by_key(|r| r.prefix.len())
 }
 
 fn member(node: &str, domain: &str, slots: u32) -> Member {
@@ -132,11 +132,11 @@
     table
 }
 
-/// Chooses a target of service a for a request of route r from here.
+/// Chooses a target of service `a` for a request of route `r` from the domain `here`.
 fn choose(balance: &mut Balance, table: &Table, bytes: usize, now: Instant) -> Option<Choice> {
     let (route, service, domain) = (name("r"), name("a"), name("here"));
     let me = "me".parse().unwrap();
-    let wish = Wish {
+    let criteria = Wish {
         node: &me,
         route: &route,
         service: &service,
@@ -144,25 +144,25 @@
         bytes,
         own: Load::default(),
     };
-    balance.choose(table, wish, |_| true, now)
+    balance.choose(table, criteria, |_| true, now)
 }
 
-/// Checks that in each window of 10 s a fifth of the first sends and 62 more were sent
-/// again at the most, and some were.
-fn assert_holds_in_every_window(first: &[u64], again: &[u64]) {
+/// Checks that in each window of 10 s the retries are at least one, and at most a fifth of the
+/// first sends plus 62.
+fn assert_budget_in_every_window(first: &[u64], retries: &[u64]) {
     for end in (10_000..40_000).step_by(500) {
         let within = |at: &&u64| **at > end - 10_000 && **at <= end;
         let requests = first.iter().filter(within).count() as f64;
-        let sent = again.iter().filter(within).count() as f64;
+        let sent = retries.iter().filter(within).count() as f64;
         assert!(
             sent <= 0.2 * requests + 62.0,
-            "{sent} of {requests} at {end}"
+            "{sent} retries of {requests} requests in the window that ends at {end} ms"
         );
         assert!(sent > 0.0);
     }
 }
 
-/// A host process's state, without its duties.
+/// The state of a host process without its background tasks.
 fn host(domain: &str) -> Host {
     let settings = format!(
         r#"{{"node": "me", "domain": "{domain}", "service": "a", "listen": {{
@@ -173,9 +173,9 @@
     );
     let document = Document::parse("host", &settings).unwrap();
     let words = Words {
-        routes: Arc::new(|_| unreachable!("no version is decoded")),
-        order: Arc::new(|_| unreachable!("no order is decoded")),
-        announcement: Arc::new(|_, _, _| unreachable!("no target calls")),
+        routes: Arc::new(|_| unreachable!("the test decodes no version")),
+        order: Arc::new(|_| unreachable!("the test decodes no order")),
+        announcement: Arc::new(|_, _, _| unreachable!("no target calls in this test")),
         acknowledgement: Default::default(),
         dialect: Dialect::default(),
     };
@@ -183,47 +183,47 @@
     Host::new(Settings::from_document(&document).unwrap(), words, journal)
 }
 
-/// A store that takes what is written, and the members that were.
-fn store_that_keeps() -> (Store, mpsc::UnboundedReceiver<Member>) {
-    let (wrote, puts) = mpsc::unbounded_channel();
+/// A store that accepts every write, and the members written to it.
+fn recording_store() -> (Store, mpsc::UnboundedReceiver<Member>) {
+    let (sender, written) = mpsc::unbounded_channel();
     let store = Store {
         newest: Arc::new(|_| std::future::pending().boxed()),
         tail: Arc::new(|_, _, _| std::future::pending().boxed()),
         put: Arc::new(move |key, record| {
             let member: Member = rmp_serde::from_slice(&record).unwrap();
             assert_eq!(member.node.as_str(), key);
-            wrote.send(member).unwrap();
+            sender.send(member).unwrap();
             async { Ok(()) }.boxed()
         }),
         said: Arc::new(|_| std::future::pending().boxed()),
         say: Arc::new(|_, _| std::future::pending().boxed()),
     };
-    (store, puts)
+    (store, written)
 }
 
-/// Questions to others after which they have a version: those of three rounds.
-const ASKED: usize = 9;
+/// Progress requests before the peers have a version: those of three rounds.
+const REQUESTS_WITHOUT_VERSION: usize = 9;
 
-/// Starts a node behind `before` others in its row, which have a version only once
-/// they were asked [`ASKED`] times; the store has it from the start.
+/// Starts a node that ranks after `before` others. Those have a version only after
+/// [`REQUESTS_WITHOUT_VERSION`] progress requests; the store has it from the start.
 ///
-/// Returns how often the store was read for it, and the version in force then.
+/// Returns the number of reads of the store and the version in force.
 async fn first_version(before: usize) -> (usize, u64) {
     let mut host = host("here");
     let decoded = |_: &[u8]| Ok(table(vec![route("r", "h", "/", &[("a", 1)])]).unwrap());
     host.words.routes = Arc::new(decoded);
     let host = Arc::new(host);
-    let wide = |i| Member {
+    let member_with_wide_link = |i| Member {
         bandwidth: 1_000,
         ..member(&format!("n{i}"), "here", 10)
     };
-    host.take_members((0..before).map(wide).collect(), "store");
+    host.take_members((0..before).map(member_with_wide_link).collect(), "store");
     host.known_to(Stream::Members, 1);
     let reads = Arc::new(AtomicUsize::new(0));
-    let counted = reads.clone();
+    let read_count = reads.clone();
     let store = Store {
         newest: Arc::new(move |_| {
-            counted.fetch_add(1, Ordering::SeqCst);
+            read_count.fetch_add(1, Ordering::SeqCst);
             let records = vec![Default::default()];
             async {
                 Ok(Records {
@@ -234,15 +234,19 @@
             }
             .boxed()
         }),
-        ..store_that_keeps().0
+        ..recording_store().0
     };
-    let asked = Arc::new(AtomicUsize::new(0));
-    let ask: Ask = Arc::new(move |_, question| {
-        let version = match question {
-            Question::Seen if asked.fetch_add(1, Ordering::SeqCst) >= ASKED => 3,
+    let progress_requests = Arc::new(AtomicUsize::new(0));
+    let ask: Ask = Arc::new(move |_, request| {
+        let version = match request {
+            Question::Seen
+                if progress_requests.fetch_add(1, Ordering::SeqCst) >= REQUESTS_WITHOUT_VERSION =>
+            {
+                3
+            }
             _ => 0,
         };
-        let answer = match question {
+        let answer = match request {
             Question::Routes(_) => {
                 let delta = table(vec![route("r", "h", "/", &[("a", 1)])])
                     .unwrap()
@@ -264,7 +268,7 @@
     (reads.load(Ordering::SeqCst), host.version())
 }
 
-/// Waits until a member is known to be gone.
+/// Waits until the host has recorded a member as gone.
 async fn until_gone(host: &Host, node: &str) {
     let node = node.parse().unwrap();
     let is_gone = || {
@@ -286,16 +290,17 @@
     }
 }
 
-fn arrival(priority: u8, patience: u64) -> Arrival {
+/// A request that waits `max_wait` milliseconds at most and is due in 1 s.
+fn arrival(priority: u8, max_wait: u64) -> Arrival {
     Arrival {
         priority,
-        patience: Duration::from_millis(patience),
+        patience: Duration::from_millis(max_wait),
         due: Instant::now() + Duration::from_secs(1),
         usual: None,
     }
 }
 
-/// A request that should be answered in `due` milliseconds, negative if it is late.
+/// A request that is due in `due` milliseconds; negative if it is late.
 fn arrival_due(due: i64) -> Arrival {
     let span = Duration::from_millis(due.unsigned_abs());
     let now = Instant::now();
@@ -305,7 +310,7 @@
     }
 }
 
-/// Longer than any test: such a wait ends by what the test does.
+/// A wait in milliseconds that is longer than any test, so that only the test ends it.
 const LONG: u64 = 600_000;
 
 fn heartbeat(instance: &str, sequence: u64, draining: bool) -> Heartbeat {
@@ -321,7 +326,7 @@
     }
 }
 
-/// Serves `handler` on a free port until the test ends.
+/// Serves `handler` on a free port until the test ends; returns the address and the phase.
 async fn serve(
     whose: Whose,
     limits: Limits,
@@ -342,7 +347,7 @@
     (address, phase)
 }
 
-/// Answers with the path and the body.
+/// Responds with the path and the body.
 fn echo() -> Handler {
     Arc::new(|request: Request<Body>| {
         async move {
@@ -372,13 +377,13 @@
 }
 
 cases! {
-    longest_prefix_agrees_with_looking_through_all => {
+    longest_prefix_match_agrees_with_a_linear_search => {
         let mut rng = fastrand::Rng::with_seed(11);
-        let steps = ["a/", "b/", "c/"];
+        let segments = ["a/", "b/", "c/"];
         let path = |rng: &mut fastrand::Rng| {
             let depth = rng.usize(0..4);
-            let steps = (0..depth).map(|_| steps[rng.usize(..steps.len())]);
-            format!("/{}", steps.collect::<String>())
+            let chosen = (0..depth).map(|_| segments[rng.usize(..segments.len())]);
+            format!("/{}", chosen.collect::<String>())
         };
         for _ in 0..200 {
             let mut routes: Vec<Route> = Vec::new();
@@ -392,15 +397,15 @@
             let built = table(routes.clone()).unwrap();
             for _ in 0..50 {
                 let host = ["x", "y", "z"][rng.usize(..3)];
-                let ends = ["", "7", "ab"];
-                let asked = format!("{}{}", path(&mut rng), ends[rng.usize(..3)]);
-                let expected = naive_find(&routes, host, &asked).map(|r| &r.name);
-                assert_eq!(built.find(host, &asked).map(|r| &r.name), expected, "{host} {asked}");
+                let suffixes = ["", "7", "ab"];
+                let request_path = format!("{}{}", path(&mut rng), suffixes[rng.usize(..3)]);
+                let expected = linear_find(&routes, host, &request_path).map(|r| &r.name);
+                assert_eq!(built.find(host, &request_path).map(|r| &r.name), expected, "{host} {request_path}");
             }
         }
     }
 
-    table_is_refused_whole => {
+    table_with_one_bad_route_is_rejected => {
         let good = route("good", "x", "/g/", &[("a", 1)]);
         let bad = [
             route("r", "x", "/p/", &[("c", 1)]),
@@ -417,9 +422,9 @@
         }
     }
 
-    change_of_a_version_makes_the_same_version => {
+    delta_yields_the_same_table => {
         let mut rng = fastrand::Rng::with_seed(3);
-        let mut held: Option<routing::Table> = None;
+        let mut previous: Option<routing::Table> = None;
         for version in 1..80 {
             let mut routes: Vec<Route> = Vec::new();
             for i in 0..rng.usize(1..9) {
@@ -428,19 +433,19 @@
                 routes.push(r);
             }
             let whole = routing::Table::new(version, routes, vec![name("a")], Limits::default()).unwrap();
-            let delta = whole.since(held.as_ref());
+            let delta = whole.since(previous.as_ref());
             let bytes = rmp_serde::to_vec(&delta).unwrap();
-            let told = rmp_serde::from_slice(&bytes).unwrap();
-            let made = routing::Table::after(held.as_ref(), told).unwrap();
-            assert_eq!(made.since(None), whole.since(None));
-            // A change of another version is not taken.
-            let stray = routing::Delta { base: version + 7, ..delta };
-            assert!(matches!(routing::Table::after(held.as_ref(), stray), Err(routing::Error::Base { .. })));
-            held = Some(made);
+            let decoded = rmp_serde::from_slice(&bytes).unwrap();
+            let updated = routing::Table::after(previous.as_ref(), decoded).unwrap();
+            assert_eq!(updated.since(None), whole.since(None));
+            // A delta from another version is rejected.
+            let mismatched = routing::Delta { base: version + 7, ..delta };
+            assert!(matches!(routing::Table::after(previous.as_ref(), mismatched), Err(routing::Error::Base { .. })));
+            previous = Some(updated);
         }
     }
 
-    row_of_nodes_closes_up_and_puts_wide_links_first => {
+    ranking_skips_excluded_nodes_and_puts_wide_links_first => {
         let list: Vec<Arc<Member>> = (0..40)
             .map(|i| {
                 let mut member = member(&format!("n{i}"), "here", 1);
@@ -448,33 +453,33 @@
                 Arc::new(member)
             })
             .collect();
-        let before = |of: &Member, left_out: &[&str]| {
-            let row = list.iter().filter(|m| !left_out.contains(&m.node.as_str()));
-            rank::before(row, "reader", &of.node, of.bandwidth)
+        let predecessors = |of: &Member, excluded: &[&str]| {
+            let ranked = list.iter().filter(|m| !excluded.contains(&m.node.as_str()));
+            rank::before(ranked, "reader", &of.node, of.bandwidth)
         };
-        let first: Vec<_> = list.iter().filter(|m| before(m, &[]).is_empty()).collect();
-        let [first] = first[..] else { panic!("one is first") };
+        let first: Vec<_> = list.iter().filter(|m| predecessors(m, &[]).is_empty()).collect();
+        let [first] = first[..] else { panic!("more or less than one node is first") };
         assert_eq!(first.bandwidth, 200);
-        // Each has another nearest to it, so each is checked by one.
+        // The nearest predecessors are all different, so each node is checked by one other.
         let mut checked: Vec<String> =
-            list.iter().filter_map(|m| Some(before(m, &[]).first()?.node.to_string())).collect();
+            list.iter().filter_map(|m| Some(predecessors(m, &[]).first()?.node.to_string())).collect();
         checked.sort();
         checked.dedup();
         assert_eq!(checked.len(), list.len() - 1);
-        // The row behind a node is that of the one before it, with that one.
+        // The predecessors of a node are the nearest one and its predecessors.
         for member in &list {
-            let row = before(member, &[]);
-            if let Some((nearest, rest)) = row.split_first() {
-                assert_eq!(before(nearest, &[]), rest);
+            let ranked = predecessors(member, &[]);
+            if let Some((nearest, rest)) = ranked.split_first() {
+                assert_eq!(predecessors(nearest, &[]), rest);
             }
         }
-        // Without the first one, exactly one other is.
+        // If the first node is excluded, exactly one other is first.
         let gone = first.node.as_str();
-        let next = list.iter().filter(|m| m.node.as_str() != gone && before(m, &[gone]).is_empty());
+        let next = list.iter().filter(|m| m.node.as_str() != gone && predecessors(m, &[gone]).is_empty());
         assert_eq!(next.count(), 1);
     }
 
-    what_nodes_say_to_each_other_is_read_as_it_was_said => {
+    hop_headers_round_trip => {
         let mut rng = fastrand::Rng::with_seed(21);
         let span = |rng: &mut fastrand::Rng| Span::from_millis(rng.u64(0..100_000));
         for i in 0..500 {
@@ -503,11 +508,11 @@
                 reason: ["", "target is full", "a; b;; c"][rng.usize(..3)].into(),
             };
             assert_eq!(told.to_string().parse(), Ok(told.clone()));
-            // Cut off anywhere, or with a byte changed, it is refused or means something
-            // else, and nothing breaks.
+            // A header that is truncated or has one byte changed does not parse or has another
+            // value; parsing it does not panic.
             let text = ask.to_string();
-            let cut = &text[..rng.usize(..text.len())];
-            assert!(cut.parse::<hop::Ask>().is_ok_and(|other| other != ask) || cut.parse::<hop::Ask>().is_err());
+            let truncated = &text[..rng.usize(..text.len())];
+            assert!(truncated.parse::<hop::Ask>().is_ok_and(|other| other != ask) || truncated.parse::<hop::Ask>().is_err());
             let mut bytes = told.to_string().into_bytes();
             let at = rng.usize(..bytes.len());
             bytes[at] = rng.u8(b' '..b'~');
@@ -518,32 +523,32 @@
         }
     }
 
-    large_answer_that_cannot_leave_in_time_is_not_begun => {
-        // 15 Mbit/s, nine tenths of it: 90 KB take 53 ms.
+    large_answer_that_cannot_be_sent_in_time_is_rejected => {
+        // 90 KB take 53 ms over nine tenths of 15 Mbit/s.
         let outflow = Flow::new(15);
-        let spare = Duration::from_millis(500);
-        let mut leaves = Vec::new();
-        while let Ok(leave) = outflow.count_in(90_000, spare) {
-            leaves.push(leave);
+        let slack = Duration::from_millis(500);
+        let mut reserved = Vec::new();
+        while let Ok(reservation) = outflow.count_in(90_000, slack) {
+            reserved.push(reservation);
         }
-        assert_eq!(leaves.len(), 9);
-        let beyond = outflow.count_in(90_000, spare).unwrap_err();
-        assert!(beyond < Duration::from_millis(54), "{beyond:?}");
-        leaves.pop();
-        assert!(outflow.count_in(90_000, spare).is_ok(), "one has left");
-        leaves.clear();
-        let alone = outflow.count_in(90_000_000, spare);
-        assert!(alone.is_ok(), "one that is alone goes");
+        assert_eq!(reserved.len(), 9);
+        let excess = outflow.count_in(90_000, slack).unwrap_err();
+        assert!(excess < Duration::from_millis(54), "{excess:?}");
+        reserved.pop();
+        assert!(outflow.count_in(90_000, slack).is_ok(), "one answer was sent");
+        reserved.clear();
+        let alone = outflow.count_in(90_000_000, slack);
+        assert!(alone.is_ok(), "an answer that is alone is accepted");
         assert!((0..100).all(|_| Flow::new(0).count_in(90_000, Duration::ZERO).is_ok()));
     }
 
-    age_of_a_request_is_what_its_caller_has_used_up => {
+    request_age_is_the_time_its_caller_has_used => {
         let mut ages = Ages::default();
         let (route, other) = (name("r"), name("s"));
         let mut rng = fastrand::Rng::with_seed(2);
         let millis = Duration::from_millis;
         for i in 0..400 {
-            // A third are first tries; one in twenty callers waits longer than others.
+            // A third are first attempts; one in 20 callers has a longer deadline than the others.
             let left = match i % 20 {
                 0 => 5000,
                 i if i % 3 == 0 => 1200,
@@ -554,82 +559,82 @@
                 assert_eq!(age, millis(1200).saturating_sub(millis(left)), "{i}");
             }
         }
-        assert_eq!(ages.note(&other, millis(200)), Duration::ZERO, "routes are told apart");
-        assert_eq!(ages.note(&route, millis(1199)), Duration::ZERO, "rounding is no age");
-        // A change of what callers begin with is taken up within a few dozen requests.
+        assert_eq!(ages.note(&other, millis(200)), Duration::ZERO, "each route has its own age");
+        assert_eq!(ages.note(&route, millis(1199)), Duration::ZERO, "a rounding difference does not count as age");
+        // When callers start with another deadline, it is learned within a few dozen requests.
         for _ in 0..80 {
             ages.note(&route, millis(600));
         }
         assert_eq!(ages.note(&route, millis(500)), millis(100));
     }
 
-    split_keeps_weights_in_every_stretch => {
+    split_follows_the_weights_in_every_window => {
         let route = route("r", "x", "/p/", &[("a", 90), ("b", 10)]);
         let mut split = Split::default();
-        let dealt: Vec<Name> = (0..400).map(|_| split.next(&route)).collect();
-        for stretch in dealt.windows(50) {
-            let to_b = stretch.iter().filter(|service| service.as_str() == "b").count();
+        let chosen: Vec<Name> = (0..400).map(|_| split.next(&route)).collect();
+        for window in chosen.windows(50) {
+            let to_b = window.iter().filter(|service| service.as_str() == "b").count();
             assert!((4..=6).contains(&to_b), "{to_b} of 50");
         }
     }
 
-    part_without_weight_gets_nothing => {
+    service_with_weight_zero_gets_no_requests => {
         let route = route("r", "x", "/p/", &[("a", 0), ("b", 1)]);
         let mut split = Split::default();
         assert!((0..50).all(|_| split.next(&route).as_str() == "b"));
     }
 
-    allowance_holds_for_the_fleet_in_every_window => {
+    retry_budget_bounds_the_fleet_in_every_window => {
         let rule = Rule { ratio: 0.2, slack: 62.0, window: Duration::from_secs(10) };
         let mut rng = fastrand::Rng::with_seed(5);
         let service = name("a");
         let begin = Instant::now();
         let nodes = 13;
         let mut fleet: Vec<Allowance> = (0..nodes).map(|_| Allowance::new(rule)).collect();
-        let (mut first, mut again) = (Vec::new(), Vec::new());
+        let (mut first, mut retries) = (Vec::new(), Vec::new());
         for step in 0..40_000u64 {
             let now = begin + Duration::from_millis(step);
-            // Traffic shifts between nodes all the while.
+            // The traffic shifts from node to node.
             let busy = (step / 3000) as usize % nodes;
             let node = if rng.bool() { busy } else { rng.usize(..nodes) };
             fleet[node].earn(&service, 0.0, now);
             first.push(step);
             if rng.f64() < 0.6 && fleet[node].spend(&service, Again::NotRun, nodes, now) {
-                again.push(step);
+                retries.push(step);
             }
         }
-        assert_holds_in_every_window(&first, &again);
+        assert_budget_in_every_window(&first, &retries);
     }
 
-    // A calm stretch and then a service that refuses most: all that may be sent again is
-    // spent within seconds, and what is left for the calls of repeated runs must be left.
-    allowance_of_a_calm_window_is_spent_within_its_part => {
+    // After a calm period a service rejects most requests, so that the whole budget is spent
+    // within seconds. The part for the calls of repeats must stay unspent.
+    burst_after_a_calm_window_stays_within_the_retry_share => {
         let rule = Rule { ratio: 0.2, slack: 0.0, window: Duration::from_secs(10) };
         let service = name("a");
         let begin = Instant::now();
         let mut allowance = Allowance::new(rule);
-        let mut again = Vec::new();
+        let mut retries = Vec::new();
         for step in 0..3000u64 {
             let now = begin + Duration::from_millis(step * 10);
             allowance.earn(&service, 0.0, now);
             if step > 1200 && allowance.spend(&service, Again::NotRun, 1, now) {
-                again.push(step);
+                retries.push(step);
             }
         }
-        // A thousand requests in each window, a fifth of them, and seven tenths of that.
-        for from in &again {
-            let within = again.iter().filter(|at| (*from..from + 1000).contains(at)).count();
-            assert!(within <= 140, "{within} within 10 s of {from}");
+        // Each window has 1000 requests; a fifth may be retried, and seven tenths of that are used.
+        for from in &retries {
+            let within = retries.iter().filter(|at| (*from..from + 1000).contains(at)).count();
+            assert!(within <= 140, "{within} retries within 10 s from step {from}");
         }
-        assert!(again.len() >= 200, "{}", again.len());
+        assert!(retries.len() >= 200, "{} retries", retries.len());
     }
 
-    calls_of_repeats_take_from_what_may_be_sent_again => {
+    calls_of_repeats_reduce_the_retry_budget => {
         let rule = Rule { ratio: 0.2, slack: 0.0, window: Duration::from_secs(10) };
         let service = name("a");
         let now = Instant::now();
-        // Of 100 requests 20 may come again: 14 are sent again by the node itself, fewer where
-        // some of the 100 are calls of repeats.
+        // Of 100 requests 20 may be repeated. The node itself retries 14, and fewer if some of
+        // the 100 are calls of repeats.
         for (carried, left) in [(0.0, 14), (0.1, 4), (0.2, 0)] {
             let mut allowance = Allowance::new(rule);
             (0..100).for_each(|_| allowance.earn(&service, carried, now));
@@ -638,7 +643,7 @@
         }
     }
 
-    no_repeat_runs_where_its_calls_would_go_beyond_what_may_come_again => {
+    no_repeat_runs_if_its_calls_would_exceed_the_retry_budget => {
         let rule = Rule { ratio: 0.2, slack: 0.0, window: Duration::from_secs(10) };
         let (called, other) = (name("a"), name("b"));
         let begin = Instant::now();
@@ -647,47 +652,47 @@
         (0..100).for_each(|_| allowance.earn(&other, 0.0, begin));
         (0..90).for_each(|_| allowance.earn(&called, 0.0, begin));
         assert!(allowance.carries(1, begin));
-        // Calls of repeats alone.
+        // All of these are calls of repeats.
         (0..20).for_each(|_| allowance.earn(&called, 1.0, begin));
         assert!(!allowance.carries(1, begin));
-        // They are forgotten after the window and the step in which they were sent.
+        // They no longer count once the window and the step in which they were sent have passed.
         let later = begin + Duration::from_millis(11_001);
         assert!(allowance.carries(1, later));
     }
 
-    allowance_covers_what_repeated_requests_call_again => {
+    retry_budget_includes_the_calls_of_repeats => {
         let rule = Rule { ratio: 0.2, slack: 62.0, window: Duration::from_secs(10) };
         let mut rng = fastrand::Rng::with_seed(9);
         let (parents, calls) = (name("a"), name("b"));
         let begin = Instant::now();
         let nodes = 13;
         let mut fleet: Vec<Allowance> = (0..nodes).map(|_| Allowance::new(rule)).collect();
-        let (mut first, mut again) = (Vec::new(), Vec::new());
+        let (mut first, mut retries) = (Vec::new(), Vec::new());
         for step in 0..40_000u64 {
             let now = begin + Duration::from_millis(step);
             let allowance = &mut fleet[rng.usize(0..nodes)];
             allowance.earn(&parents, 0.0, now);
-            // Under overload only each third gets past the gate of its target.
+            // Under overload only every third request is admitted by the gate of its target.
             if step / 10_000 % 2 == 1 && step % 3 != 0 {
                 continue;
             }
-            // Each of those calls twice, and half of all fail at either service.
+            // Each admitted request makes two calls, and half of all requests fail at either service.
             allowance.arrive(&parents, now);
             let repeats = rng.bool() && allowance.spend(&parents, Again::Repeated, nodes, now);
             for run in 0..1 + u32::from(repeats) {
                 for _ in 0..2 {
                     fleet[rng.usize(0..nodes)].earn(&calls, 0.0, now);
-                    if run == 0 { first.push(step) } else { again.push(step) }
+                    if run == 0 { first.push(step) } else { retries.push(step) }
                     if rng.bool() && fleet[rng.usize(0..nodes)].spend(&calls, Again::NotRun, nodes, now) {
-                        again.push(step);
+                        retries.push(step);
                     }
                 }
             }
         }
-        assert_holds_in_every_window(&first, &again);
+        assert_budget_in_every_window(&first, &retries);
     }
 
-    nearest_goes_first_until_it_has_no_room => {
+    nearest_target_is_preferred_until_it_is_full => {
         let table = members(&[("n1", "here"), ("f1", "there"), ("f2", "there")]);
         let mut balance = Balance::default();
         let now = Instant::now();
@@ -704,7 +709,7 @@
         }
     }
 
-    faster_target_elsewhere_gets_lookups_and_no_uploads => {
+    faster_remote_target_gets_lookups_but_no_uploads => {
         let table = members(&[("n1", "here"), ("f1", "there")]);
         let mut balance = Balance::default();
         let now = Instant::now();
@@ -722,39 +727,39 @@
         assert_eq!(upload.member.node.as_str(), "n1");
     }
 
-    large_answers_stay_near_as_large_bodies_do => {
+    large_answers_are_served_in_the_same_domain => {
         let table = members(&[("n1", "here"), ("n2", "there")]);
         let route = name("r");
         let now = Instant::now();
         let mut balance = Balance::default();
         let near = table.get(&"n1".parse().unwrap()).unwrap().clone();
-        // Nine of ten slots are taken here, none there.
+        // Nine of ten slots are taken in the domain `here`, and none in `there`.
         for _ in 0..9 {
             balance.start(&near, now);
         }
-        let goes_to = |balance: &mut Balance| choose(balance, &table, 0, now).unwrap().member.node.to_string();
+        let chosen_node = |balance: &mut Balance| choose(balance, &table, 0, now).unwrap().member.node.to_string();
         balance.note_size(&route, 2_000);
-        assert_eq!(goes_to(&mut balance), "n2");
+        assert_eq!(chosen_node(&mut balance), "n2");
         for _ in 0..40 {
             balance.note_size(&route, 90_000);
         }
-        assert_eq!(goes_to(&mut balance), "n1");
+        assert_eq!(chosen_node(&mut balance), "n1");
     }
 
-    large_answers_go_by_the_way_that_was_seen => {
+    large_answers_avoid_a_slow_network_path => {
         let table = members(&[("n1", "here"), ("n2", "here")]);
         let route = name("r");
         let now = Instant::now();
         let mut balance = Balance::default();
         balance.note_size(&route, 90_000);
-        // Both targets run it as fast; the link of one is thin.
-        let ran = Some(Duration::from_millis(50));
+        // Both targets run the request equally fast, but the link of n2 is narrow.
+        let run_time = Some(Duration::from_millis(50));
         for _ in 0..40 {
             for (node, took) in [("n1", 60), ("n2", 400)] {
                 let member = table.get(&node.parse().unwrap()).unwrap().clone();
                 balance.start(&member, now);
                 let end = End::Answered(Duration::from_millis(took));
-                let report = Report { ran, pace: Some("1.00".parse().unwrap()), ..Report::default() };
+                let report = Report { ran: run_time, pace: Some("1.00".parse().unwrap()), ..Report::default() };
                 balance.finish(&member, &route, end, report, now);
             }
         }
@@ -763,20 +768,20 @@
         }
     }
 
-    target_that_its_node_calls_slow_gets_little_and_is_tried_again_later => {
+    target_reported_slow_is_avoided_until_the_report_expires => {
         let table = members(&[("n1", "here"), ("n2", "here")]);
         let mut balance = Balance::default();
         let now = Instant::now();
-        for (node, pace) in [("n1", 3.0), ("n2", 0.8)] {
+        for (node, slowdown) in [("n1", 3.0), ("n2", 0.8)] {
             let member = table.get(&node.parse().unwrap()).unwrap().clone();
             balance.start(&member, now);
-            let report = Report { pace: Some(pace.to_string().parse().unwrap()), ..Report::default() };
-            // What this one request took says nothing against the report.
+            let report = Report { pace: Some(slowdown.to_string().parse().unwrap()), ..Report::default() };
+            // The time of this one request does not outweigh the report.
             balance.finish(&member, &name("r"), End::Answered(Duration::from_millis(100)), report, now);
         }
         let fast = table.get(&"n2".parse().unwrap()).unwrap().clone();
-        // One more request at the fast one weighs less than the pace of the slow one,
-        // and more once that is forgotten.
+        // One more request at the fast target counts less than the slowdown of the other, and
+        // more once that has expired.
         for (later, expected) in [(0, "n2"), (60, "n1")] {
             let at = now + Duration::from_secs(later);
             balance.start(&fast, at);
@@ -786,32 +791,32 @@
         }
     }
 
-    way_to_a_target_is_no_part_of_its_pace => {
+    slow_network_path_does_not_count_as_slowdown => {
         let table = members(&[("n1", "here"), ("n2", "here")]);
         let mut balance = Balance::default();
         let now = Instant::now();
-        let ran = Duration::from_millis(100);
-        // Uploads to one take long on the way, and its target is as fast as the other.
+        let run_time = Duration::from_millis(100);
+        // The network path to n1 is slow, but its target is as fast as that of n2.
         for (node, took) in [("n1", 400), ("n2", 100)].repeat(50) {
             let member = table.get(&node.parse().unwrap()).unwrap().clone();
             balance.start(&member, now);
-            let report = Report { ran: Some(ran), ..Report::default() };
+            let report = Report { ran: Some(run_time), ..Report::default() };
             balance.finish(&member, &name("r"), End::Answered(Duration::from_millis(took)), report, now);
         }
-        assert_eq!(balance.usual(&name("r")), Some(ran));
+        assert_eq!(balance.usual(&name("r")), Some(run_time));
         let chosen = (0..60).map(|_| choose(&mut balance, &table, 0, now).unwrap().member.node.to_string());
         let to_n1 = chosen.filter(|node| node == "n1").count();
         assert!((10..50).contains(&to_n1), "{to_n1} of 60");
     }
 
-    own_target_is_as_full_as_its_gate_says => {
+    load_of_the_own_target_comes_from_its_gate => {
         let table = members(&[("me", "here"), ("n1", "here")]);
         let mut balance = Balance::default();
         let now = Instant::now();
         let (me, route, service, domain) = ("me".parse().unwrap(), name("r"), name("a"), name("here"));
         for (running, expected) in [(0, "me"), (9, "n1")] {
             let own = Load { running, waiting: 0, slots: 10 };
-            let wish = Wish { node: &me, route: &route, service: &service, domain: &domain, bytes: 0, own };
+            let criteria = Wish { node: &me, route: &route, service: &service, domain: &domain, bytes: 0, own };
             let other = table.get(&"n1".parse().unwrap()).unwrap().clone();
             for _ in 0..running / 3 {
                 balance.start(&other, now);
@@ -819,12 +824,12 @@
             if running == 0 {
                 balance.start(&other, now);
             }
-            let chosen = balance.choose(&table, wish, |_| true, now).unwrap();
+            let chosen = balance.choose(&table, criteria, |_| true, now).unwrap();
             assert_eq!(chosen.member.node.as_str(), expected);
         }
     }
 
-    reported_load_is_believed => {
+    reported_load_is_used => {
         let table = members(&[("n1", "here"), ("n2", "here")]);
         let mut balance = Balance::default();
         let now = Instant::now();
@@ -838,26 +843,26 @@
         }
     }
 
-    target_that_leaves_is_passed_over_for_longer_each_time => {
+    leaving_or_replaced_target_is_excluded_for_a_while => {
         let table = members(&[("n1", "here")]);
         let mut balance = Balance::default();
         let now = Instant::now();
         let only = table.get(&"n1".parse().unwrap()).unwrap().clone();
-        let is_there = |balance: &mut Balance, at| choose(balance, &table, 0, at).is_some();
+        let is_chosen = |balance: &mut Balance, at| choose(balance, &table, 0, at).is_some();
         let end = |balance: &mut Balance, end| {
             balance.start(&only, now);
             balance.finish(&only, &name("r"), end, Report::default(), now)
         };
         assert!(end(&mut balance, End::Leaving));
-        assert!(!is_there(&mut balance, now + Duration::from_millis(100)));
-        assert!(is_there(&mut balance, now + Duration::from_millis(300)));
+        assert!(!is_chosen(&mut balance, now + Duration::from_millis(100)));
+        assert!(is_chosen(&mut balance, now + Duration::from_millis(300)));
         end(&mut balance, End::Refused);
-        assert!(is_there(&mut balance, now));
+        assert!(is_chosen(&mut balance, now));
         assert!(end(&mut balance, End::Replaced));
-        assert!(!is_there(&mut balance, now + Duration::from_secs(10)));
+        assert!(!is_chosen(&mut balance, now + Duration::from_secs(10)));
     }
 
-    unreachable_node_gets_nothing_until_it_answers_a_question => {
+    unreachable_node_gets_no_requests_until_it_answers_a_probe => {
         let table = members(&[("n1", "here"), ("f1", "there")]);
         let mut balance = Balance::default();
         let now = Instant::now();
@@ -872,7 +877,7 @@
         assert!(balance.reach.due(&table, at(100)).is_empty());
         assert_eq!(balance.reach.next(), Some(at(200)));
         assert_eq!(balance.reach.due(&table, at(200)).len(), 1);
-        // One question at a time, and each that stays without an answer puts it off.
+        // There is one probe at a time, and each without an answer delays the next.
         assert!(balance.reach.due(&table, at(60_000)).is_empty());
         balance.reach.lose(&lost, Loss::Silent, at(450));
         assert!(balance.reach.due(&table, at(450 + 300)).is_empty());
@@ -882,16 +887,16 @@
         assert_eq!(balance.reach.next(), None);
     }
 
-    domain_whose_nodes_fall_silent_in_a_row_is_passed_over_as_one => {
-        let there: Vec<String> = (0..10).map(|i| format!("f{i}")).collect();
+    domain_is_excluded_after_consecutive_unreachable_nodes => {
+        let remote: Vec<String> = (0..10).map(|i| format!("f{i}")).collect();
         let mut list = vec![("n1", "here")];
-        list.extend(there.iter().map(|node| (node.as_str(), "there")));
+        list.extend(remote.iter().map(|node| (node.as_str(), "there")));
         let table = members(&list);
         let mut balance = Balance::default();
         let now = Instant::now();
         let at = |ms| now + Duration::from_millis(ms);
         let get = |node: &str| table.get(&node.parse().unwrap()).unwrap().clone();
-        // A host that refuses connections shows that the way to it is there.
+        // A host that refuses connections shows that the network path to it works.
         for (node, loss) in [("f0", Loss::Silent), ("f1", Loss::Silent), ("f2", Loss::Closed)] {
             balance.reach.lose(&get(node), loss, now);
         }
@@ -899,19 +904,19 @@
         for node in ["f3", "f4", "f5"] {
             balance.reach.lose(&get(node), Loss::Silent, at(1000));
         }
-        assert!(balance.reach.is_lost(&get("f9")), "not asked, and beyond the cut");
+        assert!(balance.reach.is_lost(&get("f9")), "f9 was not tried, but its domain is unreachable");
         for _ in 0..50 {
             let choice = choose(&mut balance, &table, 0, at(1000)).unwrap();
             assert_eq!(choice.member.node.as_str(), "n1");
         }
-        // One of them is asked for all.
-        let [asked] = &balance.reach.due(&table, at(5000))[..] else { panic!("one question") };
+        // One node is probed for the whole domain.
+        let [probed] = &balance.reach.due(&table, at(5000))[..] else { panic!("not one probe") };
         assert!(balance.reach.due(&table, at(60_000)).is_empty());
-        balance.reach.hear(asked);
+        balance.reach.hear(probed);
         assert!(["f4", "f9"].iter().all(|node| !balance.reach.is_lost(&get(node))));
     }
 
-    node_that_is_cut_off_keeps_its_own_target => {
+    partitioned_node_still_uses_its_own_target => {
         let table = members(&[("me", "here"), ("n1", "here"), ("n2", "here"), ("n3", "here")]);
         let mut balance = Balance::default();
         let now = Instant::now();
@@ -923,22 +928,22 @@
         assert_eq!(choose(&mut balance, &table, 0, now).unwrap().member.node.as_str(), "me");
     }
 
-    late_answer_of_a_node_that_answers_others_is_its_targets_matter => {
+    late_answer_does_not_make_a_responsive_node_unreachable => {
         let table = members(&[("n1", "here"), ("n2", "here")]);
         let mut balance = Balance::default();
         let now = Instant::now();
         let late = now + Duration::from_secs(3);
-        for (node, heard, is_lost) in [("n1", late, false), ("n2", now, true)] {
+        for (node, answered, is_unreachable) in [("n1", late, false), ("n2", now, true)] {
             let member = table.get(&node.parse().unwrap()).unwrap().clone();
             balance.start(&member, now);
             balance.start(&member, now);
-            balance.finish(&member, &name("r"), End::Refused, Report::default(), heard);
-            assert_eq!(balance.finish(&member, &name("r"), End::Late, Report::default(), late), is_lost);
-            assert_eq!(balance.reach.is_lost(&member), is_lost);
+            balance.finish(&member, &name("r"), End::Refused, Report::default(), answered);
+            assert_eq!(balance.finish(&member, &name("r"), End::Late, Report::default(), late), is_unreachable);
+            assert_eq!(balance.reach.is_lost(&member), is_unreachable);
         }
     }
 
-    node_that_owes_answers_gets_no_more_work => {
+    node_with_overdue_answers_gets_no_more_requests => {
         let table = members(&[("n1", "here"), ("n2", "here")]);
         let mut balance = Balance::default();
         let now = Instant::now();
@@ -951,7 +956,7 @@
         }
     }
 
-    draining_target_gets_nothing => {
+    draining_target_gets_no_requests => {
         let mut table = members(&[("n1", "here"), ("n2", "here")]);
         let mut leaving = member("n1", "here", 10);
         leaving.sequence = 2;
@@ -976,25 +981,25 @@
         assert_eq!(local.hear(&heartbeat("i1", 2, false), now), Change::Nothing);
         assert_eq!(local.hear(&heartbeat("i1", 4, false), now), Change::Nothing);
         assert!(local.open().is_none());
-        // Another start of the target is another matter; the old one's late word
-        // then changes nothing.
+        // A new instance of the target opens the gate again; late heartbeats of the old one
+        // then change nothing.
         assert_eq!(local.hear(&heartbeat("i2", 1, false), now), Change::Told);
         assert!(local.open().is_some());
         assert_eq!(local.hear(&heartbeat("i1", 5, false), now), Change::Nothing);
         assert_eq!(local.open().unwrap().instance, "i2".into());
     }
 
-    drain_is_remembered_by_the_next_life => {
+    drain_survives_a_restart_of_the_node => {
         let now = Instant::now();
         let mut written = member("n1", "here", 4);
         written.targets[0].instance = "i1".into();
         written.targets[0].draining = true;
-        for heard_first in [false, true] {
+        for heartbeat_first in [false, true] {
             let mut local = Local::new(Span::from_millis(1500));
-            if heard_first {
+            if heartbeat_first {
                 local.hear(&heartbeat("i1", 7, false), now);
             }
-            // Before it knows, nothing opens.
+            // The gate stays closed until the recorded state is restored.
             assert!(local.open().is_none());
             local.recall(Some(&written), now);
             local.hear(&heartbeat("i1", 8, false), now);
@@ -1004,21 +1009,21 @@
         }
     }
 
-    late_heartbeat_of_a_crashed_instance_shuts_nobody_out => {
+    late_heartbeat_of_a_crashed_instance_does_not_exclude_the_current_one => {
         let now = Instant::now();
         let mut written = member("n1", "here", 4);
         written.targets[0].instance = "i2".into();
         let mut local = Local::new(Span::from_millis(1500));
         local.recall(Some(&written), now);
-        // The process knows nothing of i1, which crashed before i2 was started.
+        // The node does not know i1, which crashed before i2 started.
         local.hear(&heartbeat("i1", 9, false), now);
         local.hear(&heartbeat("i2", 4, false), now);
-        // Where i2 answers in its place, or nobody is heard any more, i2 is back.
+        // Once i1 is marked unreachable, i2 is accepted again.
         assert!(local.doubt(&"i1".into()));
         assert_eq!(local.hear(&heartbeat("i2", 5, false), now), Change::Told);
         assert_eq!(local.open().unwrap().instance, "i2".into());
         assert_eq!(local.hear(&heartbeat("i1", 10, false), now), Change::Nothing);
-        // One that has left stays gone, whoever is heard.
+        // An instance that left stays gone, whichever others send heartbeats.
         local.hear(&heartbeat("i2", 6, true), now);
         local.hear(&heartbeat("i3", 1, false), now);
         assert!(local.doubt(&"i3".into()));
@@ -1026,28 +1031,28 @@
         assert!(local.open().is_none());
     }
 
-    target_that_starts_again_under_its_id_is_another_life => {
+    restarted_target_with_the_same_id_is_a_new_instance => {
         let now = Instant::now();
         let mut local = Local::new(Span::from_millis(1500));
         local.recall(None, now);
         local.hear(&heartbeat("i1@100", 9, false), now);
-        // The counts of the new life begin anew.
+        // The sequence numbers of the new instance start from the beginning.
         assert_eq!(local.hear(&heartbeat("i1@200", 1, false), now), Change::Told);
         assert_eq!(local.open().unwrap().instance, "i1@200".into());
-        // What the earlier one said and a cut held back changes nothing, its drain and its
-        // leaving among it.
+        // Delayed heartbeats of the earlier instance change nothing, nor do its drain and its
+        // leave call.
         for late in [heartbeat("i1@100", 10, false), heartbeat("i1@100", 11, true)] {
             assert_eq!(local.hear(&late, now), Change::Nothing);
             assert_eq!(local.open().unwrap().instance, "i1@200".into());
         }
         assert_eq!(local.leave(&"i1@100".into()), Change::Nothing);
         assert_eq!(local.open().unwrap().instance, "i1@200".into());
-        // One that does not say when it started is another writer's.
+        // A heartbeat without a start time comes from another sender.
         for other in ["i1", "i2"] {
             assert_eq!(local.hear(&heartbeat(other, 50, true), now), Change::Nothing);
             assert_eq!(local.open().unwrap().instance, "i1@200".into());
         }
-        // Its own drain holds, and a third life is free of it.
+        // The drain of the instance holds, and does not apply to a third instance.
         assert_eq!(local.hear(&heartbeat("i1@200", 2, true), now), Change::Told);
         assert_eq!(local.hear(&heartbeat("i1@200", 3, false), now), Change::Nothing);
         assert!(local.open().is_none() && local.is_leaving());
@@ -1055,7 +1060,7 @@
         assert_eq!(local.open().unwrap().instance, "i1@300".into());
     }
 
-    node_that_starts_anew_tells_lives_apart => {
+    restarted_node_distinguishes_instances => {
         let now = Instant::now();
         let mut written = member("n1", "here", 4);
         written.targets[0].instance = "i1@200".into();
@@ -1074,22 +1079,22 @@
         }
     }
 
-    target_whose_clock_stepped_back_is_not_shut_out => {
+    target_whose_clock_was_set_back_is_not_excluded => {
         let now = Instant::now();
         let mut local = Local::new(Span::from_millis(1500));
         local.recall(None, now);
         local.hear(&heartbeat("i1@9000", 1, false), now);
-        // It crashed, and the host's clock was set back before it started again.
+        // The target crashed, and the host's clock was set back before the target restarted.
         assert_eq!(local.hear(&heartbeat("i1@4000", 1, false), now), Change::Nothing);
         assert!(local.fell_silent(now + Duration::from_secs(7)));
         assert_eq!(local.hear(&heartbeat("i1@4000", 5, false), now), Change::Told);
         assert_eq!(local.open().unwrap().instance, "i1@4000".into());
-        // Had it been a late word after all, the one that is there takes its place at once.
+        // If it was a late heartbeat after all, the next one of the running instance replaces it.
         assert_eq!(local.hear(&heartbeat("i1@9000", 2, false), now), Change::Told);
         assert_eq!(local.open().unwrap().instance, "i1@9000".into());
     }
 
-    nothing_of_an_earlier_life_is_held_against_the_next => {
+    failures_of_an_instance_do_not_count_against_the_next => {
         let mut table = members(&[("n1", "here"), ("n2", "here")]);
         let mut balance = Balance::default();
         let now = Instant::now();
@@ -1099,46 +1104,46 @@
             balance.finish(&old, &name("r"), End::Failed, Report::default(), now);
         }
         assert_eq!(choose(&mut balance, &table, 0, now).unwrap().member.node.as_str(), "n2");
-        let mut reborn = Member::clone(&old);
-        reborn.sequence += 1;
-        reborn.targets[0].instance = Instance::new(old.targets[0].instance.id(), Some(7));
-        table.merge(reborn);
+        let mut restarted = Member::clone(&old);
+        restarted.sequence += 1;
+        restarted.targets[0].instance = Instance::new(old.targets[0].instance.id(), Some(7));
+        table.merge(restarted);
         let chosen: Vec<_> = (0..40)
             .map(|_| choose(&mut balance, &table, 0, now).unwrap().member.node.to_string())
             .collect();
         assert!(chosen.iter().any(|node| node == "n1"), "{chosen:?}");
     }
 
-    lives_are_read_as_they_were_written => {
+    instances_round_trip_as_text => {
         let mut rng = fastrand::Rng::with_seed(4);
         for _ in 0..2_000 {
             let id: String = (0..rng.usize(..6)).map(|_| ['a', '7', '@', '-', 'é'][rng.usize(..5)]).collect();
-            let born = rng.bool().then(|| rng.u64(..));
-            let life = Instance::new(&id, born);
-            assert_eq!(Instance::from(life.to_string()), life, "{life}");
+            let started = rng.bool().then(|| rng.u64(..));
+            let instance = Instance::new(&id, started);
+            assert_eq!(Instance::from(instance.to_string()), instance, "{instance}");
         }
     }
 
-    target_of_the_former_life_is_there_until_doubted => {
+    recorded_target_is_available_until_marked_unreachable => {
         let now = Instant::now();
         let mut written = member("n1", "here", 4);
         written.targets[0].instance = "i1".into();
         let mut local = Local::new(Span::from_millis(1500));
         local.recall(Some(&written), now);
         assert_eq!(local.open().unwrap().instance, "i1".into());
-        assert!(!local.doubt(&"i0".into()), "another one than is there");
+        assert!(!local.doubt(&"i0".into()), "another instance than the current one");
         assert!(local.doubt(&"i1".into()));
-        assert!(!local.doubt(&"i1".into()), "no news");
+        assert!(!local.doubt(&"i1".into()), "already marked unreachable");
         assert!(local.open().is_none());
         local.hear(&heartbeat("i1", 3, false), now);
         assert!(local.open().is_some());
-        // Silence closes it like any other.
+        // Missed heartbeats close the gate as for any other instance.
         local.hear(&heartbeat("i2", 1, false), now);
         assert!(local.fell_silent(now + Duration::from_secs(7)));
         assert!(local.open().is_none());
     }
 
-    target_that_left_without_draining_is_closed => {
+    leave_without_a_drain_closes_the_gate => {
         let mut local = Local::new(Span::from_millis(1500));
         local.recall(None, Instant::now());
         local.hear(&heartbeat("i1", 1, false), Instant::now());
@@ -1148,31 +1153,31 @@
         assert!(local.open().is_none() && local.is_leaving());
     }
 
-    target_that_left_before_its_node_knew_it_stays_gone => {
-        // A node starts anew; the first that it hears of its target is that it
-        // leaves, and a heartbeat from before comes after that.
+    target_that_left_before_its_first_heartbeat_stays_gone => {
+        // After a restart of the node, the first message of its target is a leave, followed by
+        // an older heartbeat.
         let now = Instant::now();
         let mut written = member("n1", "here", 4);
         written.targets[0].instance = "i1".into();
-        for recalled_first in [false, true] {
+        for restored_first in [false, true] {
             let mut local = Local::new(Span::from_millis(1500));
-            if recalled_first {
+            if restored_first {
                 local.recall(Some(&written), now);
             }
             local.leave(&"i1".into());
-            assert_eq!(local.is_recalled(), recalled_first);
+            assert_eq!(local.is_recalled(), restored_first);
             local.recall(Some(&written), now);
             local.hear(&heartbeat("i1", 9, false), now);
             assert!(local.open().is_none());
             assert!(local.told()[0].draining);
         }
-        // A leave that does not say which life leaves.
+        // A leave without a start time, for an instance that was recorded with one.
         let mut local = Local::new(Span::from_millis(1500));
         written.targets[0].instance = "i1@100".into();
         local.leave(&"i1".into());
         local.recall(Some(&written), now);
         assert!(local.open().is_none() && local.told()[0].draining);
-        // One that nobody knew.
+        // A leave of an instance that was not recorded.
         let mut local = Local::new(Span::from_millis(1500));
         local.recall(None, Instant::now());
         local.leave(&"i1".into());
@@ -1180,7 +1185,7 @@
         assert!(local.open().is_none());
     }
 
-    silent_target_is_taken_for_gone => {
+    target_without_heartbeats_is_considered_gone => {
         let mut local = Local::new(Span::from_millis(1500));
         let now = Instant::now();
         local.recall(None, Instant::now());
@@ -1192,7 +1197,7 @@
         assert!(local.open().is_some());
     }
 
-    bodies_are_delimited_in_one_way_only => {
+    ambiguous_body_framing_is_rejected => {
         let head = |text: &str| codec::head(&mut BytesMut::from(text)).map(|h| h.map(|h| h.framing));
         let post = |headers: &str| head(&format!("POST /a HTTP/1.1\r\nhost: x\r\n{headers}\r\n"));
         assert_eq!(post(""), Ok(Some(Framing::Length(0))));
@@ -1213,26 +1218,26 @@
             post(smuggled).expect_err(smuggled);
         }
         head("POST /a HTTP/1.0\r\ntransfer-encoding: chunked\r\n\r\n").expect_err("1.0");
-        head("\0\0\0\0\r\n\r\n").expect_err("noise");
+        head("\0\0\0\0\r\n\r\n").expect_err("arbitrary bytes");
     }
 
-    chunks_are_the_same_however_they_are_cut => {
+    chunked_body_is_independent_of_read_boundaries => {
         let bytes = b"5;x=y\r\nhello\r\n1\r\n!\r\n0\r\ntrailer: a\r\n\r\nGET";
         for step in 1..bytes.len() {
             let mut decoder = Decoder::new(Framing::Chunked);
-            let mut at_hand = BytesMut::new();
-            let (mut whole, mut ended) = (Vec::new(), false);
-            for cut in bytes.chunks(step) {
-                at_hand.extend_from_slice(cut);
-                while !ended {
-                    match decoder.next(&mut at_hand).unwrap() {
+            let mut received = BytesMut::new();
+            let (mut whole, mut has_ended) = (Vec::new(), false);
+            for part in bytes.chunks(step) {
+                received.extend_from_slice(part);
+                while !has_ended {
+                    match decoder.next(&mut received).unwrap() {
                         Piece::Data(data) => whole.extend_from_slice(&data),
                         Piece::Nothing => break,
-                        Piece::End => ended = true,
+                        Piece::End => has_ended = true,
                     }
                 }
             }
-            assert!(ended && whole == b"hello!" && &at_hand[..] == b"GET", "cut by {step}");
+            assert!(has_ended && whole == b"hello!" && &received[..] == b"GET", "in parts of {step} bytes");
         }
         let mut decoder = Decoder::new(Framing::Chunked);
         let mut wrong = BytesMut::from(&b"2\r\nabc\r\n"[..]);
@@ -1242,7 +1247,7 @@
 }
 
 served! {
-    version_that_cannot_be_used_hides_no_other => {
+    unusable_version_does_not_hide_an_older_one => {
         let mut host = host("here");
         host.words.routes = Arc::new(|record| match record {
             b"good" => Ok(table(vec![route("r", "h", "/", &[("a", 1)])]).unwrap()),
@@ -1255,7 +1260,7 @@
                 let records = ["good", "torn", "bad"].map(|text| text.into()).to_vec();
                 async { Ok(Records { records, next: 3, ..Records::default() }) }.boxed()
             }),
-            ..store_that_keeps().0
+            ..recording_store().0
         };
         let ask: Ask = Arc::new(|_, _| std::future::pending().boxed());
         tokio::spawn(source::follow(host.clone(), store, ask, Stream::Routes));
@@ -1265,14 +1270,14 @@
         assert!(host.metrics().contains("rilltrack_unusable_total{what=\"version\"} 2"), "{}", host.metrics());
     }
 
-    requests_sent_ahead_run_beside_each_other_and_are_answered_in_order => {
-        // The first request is answered only once all three run: one after the
-        // other they would never.
-        let together = Arc::new(Barrier::new(3));
+    pipelined_requests_run_concurrently_and_are_answered_in_order => {
+        // No request is answered before all three run, so the test hangs if they run one after
+        // the other.
+        let all_running = Arc::new(Barrier::new(3));
         let handler: Handler = Arc::new(move |request: Request<Body>| {
-            let together = together.clone();
+            let all_running = all_running.clone();
             async move {
-                together.wait().await;
+                all_running.wait().await;
                 Response::new(Body::whole(format!("[{}]", request.uri().path())))
             }
             .boxed()
@@ -1285,11 +1290,11 @@
         let answer = raw::until_closed(address, [get("a"), get("b"), get("c")].concat().as_bytes()).await;
         let bodies: Vec<&str> = answer.lines().filter(|l| l.starts_with('[')).collect();
         assert_eq!(bodies.len(), 3, "{answer}");
-        let at = |text| answer.find(text).unwrap();
-        assert!(at("[/a]") < at("[/b]") && at("[/b]") < at("[/c]"), "{answer}");
+        let position = |text| answer.find(text).unwrap();
+        assert!(position("[/a]") < position("[/b]") && position("[/b]") < position("[/c]"), "{answer}");
     }
 
-    request_with_a_body_behind_another_is_whole => {
+    pipelined_requests_keep_their_bodies => {
         let (address, _phase) = serve(Whose::Callers, Limits::default(), echo()).await;
         let sent = "GET /a HTTP/1.1\r\nhost: x\r\n\r\n\
                     POST /b HTTP/1.1\r\nhost: x\r\ncontent-length: 3\r\n\r\nxyz\
@@ -1302,21 +1307,21 @@
         assert_eq!(answer.matches("connection: close").count(), 1, "{answer}");
     }
 
-    body_that_nobody_reads_on_stops_no_thread => {
-        // The handler drops the body unread and answers only once another
-        // request, on the same single thread, has been served.
-        let (go, gone) = watch::channel(false);
-        let go = Arc::new(go);
+    unread_body_does_not_block_its_thread => {
+        // The handler drops the body unread and responds only after another request was served
+        // on the same single thread.
+        let (release, released) = watch::channel(false);
+        let release = Arc::new(release);
         let (dropped, was_dropped) = tokio::sync::mpsc::unbounded_channel();
         let handler: Handler = Arc::new(move |request: Request<Body>| {
-            let (go, mut gone, dropped) = (go.clone(), gone.clone(), dropped.clone());
+            let (release, mut released, dropped) = (release.clone(), released.clone(), dropped.clone());
             async move {
                 if request.method() == "GET" {
-                    go.send_replace(true);
+                    release.send_replace(true);
                 } else {
                     drop(request);
                     dropped.send(()).unwrap();
-                    drop(gone.wait_for(|gone| *gone).await);
+                    drop(released.wait_for(|released| *released).await);
                 }
                 Response::new(Body::whole("done"))
             }
@@ -1343,7 +1348,7 @@
         assert!(answer.ends_with("done"), "{answer}");
     }
 
-    what_is_no_request_gets_400_and_a_close => {
+    invalid_request_gets_400_and_a_close => {
         let (address, _phase) = serve(Whose::Callers, Limits::default(), echo()).await;
         let answer = raw::until_closed(address, b"\x16\x03\x01 no http\r\n\r\n").await;
         assert!(answer.starts_with("HTTP/1.1 400 ") && answer.contains("connection: close"), "{answer}");
@@ -1364,20 +1369,20 @@
         assert!(answer.starts_with("HTTP/1.1 408 "), "{answer}");
     }
 
-    caller_that_leaves_cancels_all_it_sent => {
-        struct Counted(Arc<AtomicUsize>);
-        impl Drop for Counted {
+    disconnect_of_a_caller_cancels_its_requests => {
+        struct RunningGuard(Arc<AtomicUsize>);
+        impl Drop for RunningGuard {
             fn drop(&mut self) {
                 self.0.fetch_sub(1, Ordering::SeqCst);
             }
         }
         let running = Arc::new(AtomicUsize::new(0));
-        let counted = running.clone();
+        let count = running.clone();
         let handler: Handler = Arc::new(move |_| {
-            counted.fetch_add(1, Ordering::SeqCst);
-            let counted = Counted(counted.clone());
+            count.fetch_add(1, Ordering::SeqCst);
+            let guard = RunningGuard(count.clone());
             async move {
-                let _counted = counted;
+                let _guard = guard;
                 std::future::pending().await
             }
             .boxed()
@@ -1387,18 +1392,18 @@
         let twice = b"GET / HTTP/1.1\r\nhost: x\r\n\r\nGET / HTTP/1.1\r\nhost: x\r\n\r\n";
         stream.writable().await.unwrap();
         assert_eq!(stream.try_write(twice).unwrap(), twice.len());
-        let is = |count: usize| (running.load(Ordering::SeqCst) == count).then_some(());
-        support::until("both run", || async { is(2) }).await;
+        let are_running = |count: usize| (running.load(Ordering::SeqCst) == count).then_some(());
+        support::until("both requests run", || async { are_running(2) }).await;
         drop(stream);
-        support::until("both are cancelled", || async { is(0) }).await;
+        support::until("both requests are cancelled", || async { are_running(0) }).await;
     }
 
-    closing_server_answers_what_it_took => {
-        let (go, gone) = watch::channel(false);
+    closing_server_answers_accepted_requests => {
+        let (release, released) = watch::channel(false);
         let handler: Handler = Arc::new(move |_| {
-            let mut gone = gone.clone();
+            let mut released = released.clone();
             async move {
-                drop(gone.wait_for(|gone| *gone).await);
+                drop(released.wait_for(|released| *released).await);
                 Response::new(Body::whole("done"))
             }
             .boxed()
@@ -1407,36 +1412,37 @@
         let asked = tokio::spawn(async move {
             raw::until_closed(address, b"GET / HTTP/1.1\r\nhost: x\r\n\r\n").await
         });
-        support::until("the request is there", || async {
+        support::until("the connection is open", || async {
             (phase.receiver_count() > 2).then_some(())
         })
         .await;
         phase.send_replace(Phase::Closing);
-        go.send_replace(true);
+        release.send_replace(true);
         let answer = asked.await.unwrap();
-        // Taken or crossed by the close: never cut midway.
+        // The request was answered in full, or the server closed before it accepted it.
         assert!(answer.is_empty() || answer.ends_with("done"), "{answer}");
     }
 
-    large_answers_leave_as_fast_as_the_link_carries_them => {
-        // 15 Mbit/s, nine tenths of it: 90 KB take 53 ms, and 50 ms may be ahead.
+    large_answers_are_paced_to_the_link => {
+        // 90 KB take 53 ms over nine tenths of 15 Mbit/s, and answers are handed over up to 50 ms
+        // ahead of the link.
         let outflow = Flow::new(15);
         let since = Instant::now();
         outflow.enter(90_000).await;
-        assert!(outflow.enter(90_000_000).now_or_never().is_none(), "the link is not free yet");
+        assert!(outflow.enter(90_000_000).now_or_never().is_none(), "the link is still busy");
         for _ in 0..9 {
             outflow.enter(90_000).await;
         }
         assert!(since.elapsed() >= Duration::from_millis(425), "{:?}", since.elapsed());
-        // The one that was given up took none of the link, which is a minute for it.
+        // The cancelled answer, which would take about a minute, used nothing of the link.
         assert!(since.elapsed() < Duration::from_secs(60));
-        // A wide link holds none back, nor does one that is not known.
+        // A wide link delays no answer, nor does one of unknown bandwidth.
         for wide in [Flow::new(100_000), Flow::new(0)] {
             assert!((0..100).all(|_| wide.enter(90_000).now_or_never().is_some()));
         }
     }
 
-    gate_gives_no_more_than_its_slots_and_keeps_none_idle => {
+    gate_grants_each_slot_once_and_leaves_none_idle => {
         let gate = Gate::new();
         gate.open(target("i1", 2));
         let first = gate.enter(arrival(1, LONG)).await.ok().unwrap();
@@ -1449,7 +1455,7 @@
         assert!(third.await.is_ok());
     }
 
-    gate_lets_higher_ranks_in_first => {
+    gate_admits_higher_priorities_first => {
         let gate = Gate::new();
         gate.open(target("i1", 1));
         let held = gate.enter(arrival(1, LONG)).await.ok().unwrap();
@@ -1464,23 +1470,23 @@
         assert!(low.await.is_ok());
     }
 
-    gate_lets_what_is_due_first_in_among_equals => {
+    gate_admits_the_earliest_due_time_first_at_equal_priority => {
         let gate = Gate::new();
         gate.open(target("i1", 1));
         let held = gate.enter(arrival(1, LONG)).await.ok().unwrap();
-        let mut whole = Box::pin(gate.enter(arrival(1, LONG)));
-        let soon = Arrival { usual: Some(Duration::from_millis(10)), ..arrival_due(400) };
-        let mut call = Box::pin(gate.enter(soon));
-        assert!(whole.as_mut().now_or_never().is_none());
+        let mut request = Box::pin(gate.enter(arrival(1, LONG)));
+        let due_soon = Arrival { usual: Some(Duration::from_millis(10)), ..arrival_due(400) };
+        let mut call = Box::pin(gate.enter(due_soon));
+        assert!(request.as_mut().now_or_never().is_none());
         assert!(call.as_mut().now_or_never().is_none());
         drop(held);
         let call = call.await.ok().unwrap();
-        assert!(whole.as_mut().now_or_never().is_none());
+        assert!(request.as_mut().now_or_never().is_none());
         drop(call);
-        assert!(whole.await.is_ok());
+        assert!(request.await.is_ok());
     }
 
-    gate_lets_what_is_late_in_behind_what_can_end_in_time => {
+    gate_admits_late_requests_after_those_that_can_finish_in_time => {
         let gate = Gate::new();
         gate.open(target("i1", 4));
         let mut held = Vec::new();
@@ -1488,7 +1494,7 @@
             held.push(gate.enter(arrival(1, LONG)).await.ok().unwrap());
         }
         let mut late = Box::pin(gate.enter(arrival_due(-50)));
-        assert!(late.as_mut().now_or_never().is_none(), "it waits for room that is left");
+        assert!(late.as_mut().now_or_never().is_none(), "a late request waits for an unused slot");
         let mut fresh = Box::pin(gate.enter(arrival_due(800)));
         assert!(fresh.as_mut().now_or_never().is_none());
         held.pop();
@@ -1498,7 +1504,7 @@
         assert!(late.now_or_never().unwrap().is_ok(), "no slot stays free");
     }
 
-    gate_refuses_at_once_what_is_late_behind_a_queue => {
+    gate_rejects_at_once_a_request_that_the_queue_makes_late => {
         let gate = Gate::new();
         gate.open(target("i1", 4));
         let mut held = Vec::new();
@@ -1508,10 +1514,10 @@
         let mut fresh = Box::pin(gate.enter(arrival_due(800)));
         assert!(fresh.as_mut().now_or_never().is_none());
         let refused = gate.enter(arrival_due(100)).now_or_never();
-        assert_eq!(refused.unwrap().err().unwrap().reason, gate::FULL, "it can't end within 100 ms");
+        assert_eq!(refused.unwrap().err().unwrap().reason, gate::FULL, "the request can't finish within 100 ms");
     }
 
-    closed_gate_refuses_what_waits_before_the_target_sees_it => {
+    closed_gate_rejects_waiting_requests_as_not_run => {
         let gate = Gate::new();
         gate.open(target("i1", 1));
         let _held = gate.enter(arrival(1, LONG)).await.ok().unwrap();
@@ -1524,20 +1530,20 @@
         assert!(gate.enter(arrival(0, LONG)).await.is_err());
     }
 
-    place_of_a_waiter_that_left_is_free => {
+    slot_granted_to_a_cancelled_waiter_is_released => {
         let gate = Gate::new();
         gate.open(target("i1", 1));
         let held = gate.enter(arrival(1, LONG)).await.ok().unwrap();
-        let mut left = Box::pin(gate.enter(arrival(0, LONG)));
-        assert!(left.as_mut().now_or_never().is_none());
-        // Granted, and left in the same moment.
+        let mut cancelled = Box::pin(gate.enter(arrival(0, LONG)));
+        assert!(cancelled.as_mut().now_or_never().is_none());
+        // The slot is granted just before the request is cancelled.
         drop(held);
-        drop(left);
+        drop(cancelled);
         assert_eq!(gate.load().running, 0);
         assert!(gate.enter(arrival(1, 0)).await.is_ok());
     }
 
-    waiter_that_was_displaced_and_left_gives_no_slot_back => {
+    displaced_and_cancelled_waiter_releases_no_slot => {
         let gate = Gate::new();
         gate.open(target("i1", 1));
         let _held = gate.enter(arrival(1, LONG)).await.ok().unwrap();
@@ -1545,7 +1551,7 @@
         for waiter in &mut waiting {
             assert!(waiter.as_mut().now_or_never().is_none());
         }
-        // One that goes before them takes the place of the last, which leaves at once.
+        // A request of higher priority displaces the last waiter, which is cancelled at once.
         let mut first = Box::pin(gate.enter(arrival(0, LONG)));
         assert!(first.as_mut().now_or_never().is_none());
         drop(waiting.pop());
@@ -1553,7 +1559,7 @@
         assert!(first.now_or_never().is_none());
     }
 
-    full_gate_refuses_at_once_what_would_wait_too_long => {
+    full_gate_rejects_at_once_a_request_that_would_wait_too_long => {
         let gate = Gate::new();
         gate.open(target("i1", 1));
         let _held = gate.enter(arrival(1, LONG)).await.ok().unwrap();
@@ -1563,76 +1569,76 @@
         assert_eq!(gate.load().waiting, 0);
     }
 
-    peer_that_lacks_one_member_is_not_told_all => {
+    peer_that_lacks_one_member_is_not_sent_all => {
         let host = host("here");
         let list: Vec<_> = (0..300).map(|i| member(&format!("n{i}"), "here", 10)).collect();
         host.take_members(list.clone(), "store");
-        let mut behind = Table::default();
+        let mut peer_table = Table::default();
         for member in &list[1..] {
-            behind.merge(member.clone());
+            peer_table.merge(member.clone());
         }
-        let told = |marks: &[u32]| -> News<Member> {
+        let news_for = |marks: &[u32]| -> News<Member> {
             rmp_serde::from_slice(&source::members(&host, marks)).unwrap()
         };
-        let some = told(behind.marks());
-        assert!(some.members.contains(&list[0]));
-        assert!(some.members.len() < 20, "{} of 300", some.members.len());
-        assert!(told(host.members.read().marks()).members.is_empty());
-        assert_eq!(told(&[]).members.len(), 300, "who has nothing is told all");
+        let missing = news_for(peer_table.marks());
+        assert!(missing.members.contains(&list[0]));
+        assert!(missing.members.len() < 20, "{} of 300", missing.members.len());
+        assert!(news_for(host.members.read().marks()).members.is_empty());
+        assert_eq!(news_for(&[]).members.len(), 300, "a peer without members is sent all");
     }
 
-    member_whose_host_was_replaced_is_ended_by_the_node_at_its_address => {
+    node_removes_a_former_member_at_its_own_address => {
         let host = Arc::new(host("here"));
         let elsewhere = Member { inbound: "127.0.0.1:2".parse().unwrap(), ..member("n2", "here", 10) };
         host.take_members(vec![member("n1", "here", 10), elsewhere], "store");
         host.known_to(Stream::Members, 1);
-        let (store, mut puts) = store_that_keeps();
-        // What it says of itself needs no wait for a target here.
+        let (store, mut written_members) = recording_store();
+        // Writes the own record without waiting for a target.
         host.changed.notify_one();
         let written = watch::Sender::default();
         tokio::spawn(presence::keep_written(host.clone(), store, written));
-        assert_eq!(puts.recv().await.unwrap().node.as_str(), "me");
-        let ended = puts.recv().await.unwrap();
-        assert_eq!((ended.node.as_str(), ended.status), ("n1", Status::Gone));
-        assert!(ended.targets == member("n1", "here", 10).targets, "what drained stays known");
+        assert_eq!(written_members.recv().await.unwrap().node.as_str(), "me");
+        let removed = written_members.recv().await.unwrap();
+        assert_eq!((removed.node.as_str(), removed.status), ("n1", Status::Gone));
+        assert!(removed.targets == member("n1", "here", 10).targets, "the drain state of targets is kept");
         until_gone(&host, "n1").await;
         let members = host.members.read().clone();
         assert_eq!(members.get(&"n2".parse().unwrap()).unwrap().status, Status::Alive);
         assert_eq!(members.offers(&name("a")).len(), 1);
 
-        // Taken for gone itself, by mistake, it says that it is here.
+        // If the node itself is reported gone by mistake, it publishes that it is alive.
         let me = members.get(&"me".parse().unwrap()).unwrap();
         let gone = Member { status: Status::Gone, sequence: me.sequence + 1, ..me.as_ref().clone() };
         host.take_member(gone.clone(), "reader");
-        let again = puts.recv().await.unwrap();
-        assert_eq!((again.node.as_str(), again.status), ("me", Status::Alive));
-        assert!(again.stamp() > gone.stamp());
+        let republished = written_members.recv().await.unwrap();
+        assert_eq!((republished.node.as_str(), republished.status), ("me", Status::Alive));
+        assert!(republished.stamp() > gone.stamp());
     }
 
-    first_version_comes_from_a_head_of_the_row_and_not_from_the_store => {
+    first_version_comes_from_a_higher_ranked_node_and_not_from_the_store => {
         let (reads, version) = first_version(9).await;
         assert_eq!((reads, version), (0, 3));
     }
 
-    head_of_the_row_reads_the_first_version_itself => {
+    highly_ranked_node_reads_the_first_version_from_the_store => {
         let (reads, version) = first_version(2).await;
         assert_eq!((reads, version), (1, 3));
     }
 
-    row_that_is_silent_is_passed_over_in_a_few_rounds => {
+    unreachable_nodes_in_the_ranking_are_skipped_in_a_few_rounds => {
         let host = Arc::new(host("here"));
         for i in 0..40 {
-            // With wider links than this one, they all stand before it.
+            // Their links are wider, so that they all rank before this node.
             let other = Member { bandwidth: 100, ..member(&format!("n{i}"), "here", 4) };
             host.take_member(other, "test");
         }
-        // Counts the rounds: questions that are asked while no other is open.
+        // Counts a round for each request that is sent while no other is open.
         let (open, rounds) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
-        let counted = rounds.clone();
+        let round_count = rounds.clone();
         let ask: Ask = Arc::new(move |address, _| {
             let open = open.clone();
             if open.fetch_add(1, Ordering::SeqCst) == 0 {
-                counted.fetch_add(1, Ordering::SeqCst);
+                round_count.fetch_add(1, Ordering::SeqCst);
             }
             async move {
                 tokio::task::yield_now().await;
@@ -1643,27 +1649,27 @@
         });
         host.settle();
         let mut reading = host.reading();
-        let keep = tokio::spawn(coordination::watch::keep(host.clone(), ask));
+        let watch_task = tokio::spawn(coordination::watch::keep(host.clone(), ask));
         reading.wait_for(|reads| *reads).await.unwrap();
-        keep.abort();
+        watch_task.abort();
         assert!(rounds.load(Ordering::SeqCst) <= 7, "{rounds:?} rounds for 40 nodes");
     }
 
-    connection_with_bytes_of_no_request_is_not_used_again => {
-        // Each answer is followed by another that nobody asked for.
-        let twice = b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\n1HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\n2\r\n\r\nok";
-        let (address, _) = raw::target(move |_| Some(twice.to_vec())).await;
+    connection_with_unread_bytes_is_not_reused => {
+        // Each response is followed by another one without a request.
+        let two_responses = b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\n1HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\n2\r\n\r\nok";
+        let (address, _) = raw::target(move |_| Some(two_responses.to_vec())).await;
         let pool = Pool::new(POOL);
         for _ in 0..5 {
             let exchange = get(&pool, address).await.unwrap();
             let read = body::read(exchange.response.into_body(), 100, Duration::from_secs(5)).await;
-            let Ok(Read::Whole(bytes)) = read else { panic!("no body") };
+            let Ok(Read::Whole(bytes)) = read else { panic!("the body could not be read whole") };
             assert_eq!(&bytes[..], b"1");
             pool.put_back(exchange.connection);
         }
     }
 
-    connection_unused_for_longest_makes_room_for_another => {
+    full_pool_closes_the_longest_idle_connection => {
         let pool = Pool::new(POOL);
         let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok".to_vec();
         let mut addresses = Vec::new();
@@ -1679,17 +1685,17 @@
         }
         assert_eq!(pool.unused(), POOL.total);
         pool.forget(addresses[0].0);
-        assert_eq!(pool.unused(), POOL.total, "the first ones were closed");
+        assert_eq!(pool.unused(), POOL.total, "the oldest connections were closed already");
         pool.forget(addresses[19].0);
         assert_eq!(pool.unused(), POOL.total - 1);
     }
 
-    offered_body_is_sent_only_where_it_is_taken => {
-        // Refuses by the head alone, and counts what comes after it.
-        let refuses = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let address = refuses.local_addr().unwrap();
+    offered_body_is_sent_only_after_100_continue => {
+        // Rejects the request after its head, and counts the bytes received after that.
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let address = listener.local_addr().unwrap();
         let rest = tokio::spawn(async move {
-            let (mut stream, _) = refuses.accept().await.unwrap();
+            let (mut stream, _) = listener.accept().await.unwrap();
             let mut head = Vec::new();
             while !head.ends_with(b"\r\n\r\n") {
                 head.push(stream.read_u8().await.unwrap());
@@ -1715,36 +1721,36 @@
             let exchange = pool.send(address, request, until).await.unwrap();
             assert!(offer.is_taken() && !offer.take_back());
             let read = body::read(exchange.response.into_body(), 1 << 20, Duration::from_secs(5)).await;
-            let Ok(Read::Whole(bytes)) = read else { panic!("no answer") };
+            let Ok(Read::Whole(bytes)) = read else { panic!("the response could not be read whole") };
             assert_eq!(bytes.len(), "/=".len() + length);
             pool.put_back(exchange.connection);
         }
     }
 
-    bodies_come_in_as_far_as_the_link_has_room => {
-        // 75 ms of 20 Mbit/s are 183 KiB.
-        let thin = Inflow::new(20);
-        let first = thin.enter(Some(120 << 10)).await;
-        assert!(thin.enter(Some(100 << 10)).now_or_never().is_none());
-        assert!(thin.enter(None).now_or_never().is_none());
+    concurrent_large_bodies_are_limited_by_the_link => {
+        // 20 Mbit/s carry 183 KiB in 75 ms.
+        let narrow = Inflow::new(20);
+        let first = narrow.enter(Some(120 << 10)).await;
+        assert!(narrow.enter(Some(100 << 10)).now_or_never().is_none());
+        assert!(narrow.enter(None).now_or_never().is_none());
         drop(first);
-        let second = thin.enter(Some(100 << 10)).now_or_never();
+        let second = narrow.enter(Some(100 << 10)).now_or_never();
         assert!(second.is_some());
         drop(second);
-        // The largest waits until it is alone, and not for ever.
-        assert!(thin.enter(Some(10 << 20)).now_or_never().is_some());
+        // A body larger than the whole limit is let in once it is alone.
+        assert!(narrow.enter(Some(10 << 20)).now_or_never().is_some());
         let unknown = Inflow::new(0);
         assert!(unknown.enter(Some(10 << 20)).now_or_never().is_some());
     }
 
-    refused_connection_is_not_sent_and_a_broken_one_is_in_doubt => {
+    refused_connection_sent_nothing_and_a_broken_one_may_have => {
         let pool = Pool::new(POOL);
         let free = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-        let nobody = free.local_addr().unwrap();
+        let unused = free.local_addr().unwrap();
         drop(free);
-        assert!(matches!(get(&pool, nobody).await, Err(Failure::NotSent(_))));
-        let (breaks, _) = raw::target(|_| None).await;
-        assert!(matches!(get(&pool, breaks).await, Err(Failure::Broken(_))));
+        assert!(matches!(get(&pool, unused).await, Err(Failure::NotSent(_))));
+        let (closes, _) = raw::target(|_| None).await;
+        assert!(matches!(get(&pool, closes).await, Err(Failure::Broken(_))));
     }
 }
 
