--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -843,7 +843,7 @@
         }
     }
 
-    leaving_or_replaced_target_is_excluded_for_a_while => {
+    leaving_target_is_excluded_briefly_and_a_replaced_one_for_longer => {
         let table = members(&[("n1", "here")]);
         let mut balance = Balance::default();
         let now = Instant::now();
@@ -866,9 +866,9 @@
         let table = members(&[("n1", "here"), ("f1", "there")]);
         let mut balance = Balance::default();
         let now = Instant::now();
-        let lost = table.get(&"n1".parse().unwrap()).unwrap().clone();
-        balance.start(&lost, now);
-        assert!(balance.finish(&lost, &name("r"), End::Lost(Loss::Silent), Report::default(), now));
+        let unreachable = table.get(&"n1".parse().unwrap()).unwrap().clone();
+        balance.start(&unreachable, now);
+        assert!(balance.finish(&unreachable, &name("r"), End::Lost(Loss::Silent), Report::default(), now));
         let at = |ms| now + Duration::from_millis(ms);
         for ms in [0, 300, 60_000] {
             let choice = choose(&mut balance, &table, 0, at(ms)).unwrap();
@@ -879,10 +879,10 @@
         assert_eq!(balance.reach.due(&table, at(200)).len(), 1);
         // There is one probe at a time, and each without an answer delays the next.
         assert!(balance.reach.due(&table, at(60_000)).is_empty());
-        balance.reach.lose(&lost, Loss::Silent, at(450));
+        balance.reach.lose(&unreachable, Loss::Silent, at(450));
         assert!(balance.reach.due(&table, at(450 + 300)).is_empty());
         assert_eq!(balance.reach.due(&table, at(450 + 500)).len(), 1);
-        assert!(balance.reach.hear(&lost));
+        assert!(balance.reach.hear(&unreachable));
         assert_eq!(choose(&mut balance, &table, 100 << 10, now).unwrap().member.node.as_str(), "n1");
         assert_eq!(balance.reach.next(), None);
     }
@@ -1018,7 +1018,8 @@
         // The node does not know i1, which crashed before i2 started.
         local.hear(&heartbeat("i1", 9, false), now);
         local.hear(&heartbeat("i2", 4, false), now);
-        // Once i1 is marked unreachable, i2 is accepted again.
+        // Once i1 is marked unreachable, since i2 answers at its address or nothing does, i2 is
+        // accepted again.
         assert!(local.doubt(&"i1".into()));
         assert_eq!(local.hear(&heartbeat("i2", 5, false), now), Change::Told);
         assert_eq!(local.open().unwrap().instance, "i2".into());
@@ -1409,7 +1410,7 @@
             .boxed()
         });
         let (address, phase) = serve(Whose::Callers, Limits::default(), handler).await;
-        let asked = tokio::spawn(async move {
+        let response = tokio::spawn(async move {
             raw::until_closed(address, b"GET / HTTP/1.1\r\nhost: x\r\n\r\n").await
         });
         support::until("the connection is open", || async {
@@ -1418,7 +1419,7 @@
         .await;
         phase.send_replace(Phase::Closing);
         release.send_replace(true);
-        let answer = asked.await.unwrap();
+        let answer = response.await.unwrap();
         // The request was answered in full, or the server closed before it accepted it.
         assert!(answer.is_empty() || answer.ends_with("done"), "{answer}");
     }
@@ -1458,12 +1459,12 @@
     gate_admits_higher_priorities_first => {
         let gate = Gate::new();
         gate.open(target("i1", 1));
-        let held = gate.enter(arrival(1, LONG)).await.ok().unwrap();
+        let permit = gate.enter(arrival(1, LONG)).await.ok().unwrap();
         let mut low = Box::pin(gate.enter(arrival(2, LONG)));
         let mut high = Box::pin(gate.enter(arrival(0, LONG)));
         assert!(low.as_mut().now_or_never().is_none());
         assert!(high.as_mut().now_or_never().is_none());
-        drop(held);
+        drop(permit);
         let high = high.await.ok().unwrap();
         assert!(low.as_mut().now_or_never().is_none());
         drop(high);
@@ -1473,13 +1474,13 @@
     gate_admits_the_earliest_due_time_first_at_equal_priority => {
         let gate = Gate::new();
         gate.open(target("i1", 1));
-        let held = gate.enter(arrival(1, LONG)).await.ok().unwrap();
+        let permit = gate.enter(arrival(1, LONG)).await.ok().unwrap();
         let mut request = Box::pin(gate.enter(arrival(1, LONG)));
         let due_soon = Arrival { usual: Some(Duration::from_millis(10)), ..arrival_due(400) };
         let mut call = Box::pin(gate.enter(due_soon));
         assert!(request.as_mut().now_or_never().is_none());
         assert!(call.as_mut().now_or_never().is_none());
-        drop(held);
+        drop(permit);
         let call = call.await.ok().unwrap();
         assert!(request.as_mut().now_or_never().is_none());
         drop(call);
@@ -1489,27 +1490,27 @@
     gate_admits_late_requests_after_those_that_can_finish_in_time => {
         let gate = Gate::new();
         gate.open(target("i1", 4));
-        let mut held = Vec::new();
+        let mut permits = Vec::new();
         for _ in 0..4 {
-            held.push(gate.enter(arrival(1, LONG)).await.ok().unwrap());
+            permits.push(gate.enter(arrival(1, LONG)).await.ok().unwrap());
         }
         let mut late = Box::pin(gate.enter(arrival_due(-50)));
         assert!(late.as_mut().now_or_never().is_none(), "a late request waits for an unused slot");
         let mut fresh = Box::pin(gate.enter(arrival_due(800)));
         assert!(fresh.as_mut().now_or_never().is_none());
-        held.pop();
+        permits.pop();
         assert!(late.as_mut().now_or_never().is_none());
-        held.push(fresh.now_or_never().unwrap().ok().unwrap());
-        held.pop();
+        permits.push(fresh.now_or_never().unwrap().ok().unwrap());
+        permits.pop();
         assert!(late.now_or_never().unwrap().is_ok(), "no slot stays free");
     }
 
     gate_rejects_at_once_a_request_that_the_queue_makes_late => {
         let gate = Gate::new();
         gate.open(target("i1", 4));
-        let mut held = Vec::new();
+        let mut permits = Vec::new();
         for _ in 0..4 {
-            held.push(gate.enter(arrival(1, LONG)).await.ok().unwrap());
+            permits.push(gate.enter(arrival(1, LONG)).await.ok().unwrap());
         }
         let mut fresh = Box::pin(gate.enter(arrival_due(800)));
         assert!(fresh.as_mut().now_or_never().is_none());
@@ -1520,7 +1521,7 @@
     closed_gate_rejects_waiting_requests_as_not_run => {
         let gate = Gate::new();
         gate.open(target("i1", 1));
-        let _held = gate.enter(arrival(1, LONG)).await.ok().unwrap();
+        let _permit = gate.enter(arrival(1, LONG)).await.ok().unwrap();
         let mut waiting = Box::pin(gate.enter(arrival(1, LONG)));
         assert!(waiting.as_mut().now_or_never().is_none());
         gate.close();
@@ -1533,11 +1534,11 @@
     slot_granted_to_a_cancelled_waiter_is_released => {
         let gate = Gate::new();
         gate.open(target("i1", 1));
-        let held = gate.enter(arrival(1, LONG)).await.ok().unwrap();
+        let permit = gate.enter(arrival(1, LONG)).await.ok().unwrap();
         let mut cancelled = Box::pin(gate.enter(arrival(0, LONG)));
         assert!(cancelled.as_mut().now_or_never().is_none());
         // The slot is granted just before the request is cancelled.
-        drop(held);
+        drop(permit);
         drop(cancelled);
         assert_eq!(gate.load().running, 0);
         assert!(gate.enter(arrival(1, 0)).await.is_ok());
@@ -1546,7 +1547,7 @@
     displaced_and_cancelled_waiter_releases_no_slot => {
         let gate = Gate::new();
         gate.open(target("i1", 1));
-        let _held = gate.enter(arrival(1, LONG)).await.ok().unwrap();
+        let _permit = gate.enter(arrival(1, LONG)).await.ok().unwrap();
         let mut waiting: Vec<_> = (0..2).map(|_| Box::pin(gate.enter(arrival(2, LONG)))).collect();
         for waiter in &mut waiting {
             assert!(waiter.as_mut().now_or_never().is_none());
@@ -1562,7 +1563,7 @@
     full_gate_rejects_at_once_a_request_that_would_wait_too_long => {
         let gate = Gate::new();
         gate.open(target("i1", 1));
-        let _held = gate.enter(arrival(1, LONG)).await.ok().unwrap();
+        let _permit = gate.enter(arrival(1, LONG)).await.ok().unwrap();
         let refusal = gate.enter(arrival(1, 1)).await.err().unwrap();
         assert_eq!(refusal.reason, gate::FULL);
         assert!(refusal.retry_after.is_some());
