--- a/src/coordination/rank.rs
+++ b/src/coordination/rank.rs
@@ -1,8 +1,8 @@
-//! Who does what, by rendezvous hashing.
+//! Assigns jobs to nodes by rendezvous hashing.
 //!
-//! Every node ranks the members it knows by a hash of job and name. Nobody
-//! has to agree: where two views differ two nodes may do the same job for a
-//! while, and every job given out this way is harmless when done twice.
+//! Every node ranks the members in its table by a hash of job and node name. No
+//! agreement is needed: while the tables of two nodes differ, both may do the same
+//! job, and every job assigned this way is harmless if done twice.
 
 use std::{cmp::Reverse, sync::Arc};
 
@@ -13,23 +13,25 @@
     state::member::{Member, Status, Table},
 };
 
-/// Nodes of a failure domain that read the log at a time. Two, so that one
-/// can die without its domain waiting for anybody to notice.
+/// Number of nodes of a failure domain that read the log. With two, records still arrive
+/// when one of them crashes, before any node has detected the crash.
 pub const READERS: usize = 2;
 
-/// Members of the same failure domain after a node in the ring of all, which it
-/// pings. So each member is pinged by that many others at least.
+/// Number of successors that a node pings in the ring of all members of its failure
+/// domain. Each member is therefore pinged by at least that many others.
 const SUCCESSORS: usize = 2;
 
-/// Further members of the same failure domain that a node pings. They make the
-/// ring a random graph, in which news takes a few steps and not hundreds.
+/// Number of further members of the same failure domain that a node pings. They turn
+/// the ring into a random graph, in which an update spreads in a few hops instead of
+/// hundreds.
 const CHORDS: usize = 4;
 
-/// Members of other failure domains that a node pings.
-const FAR: usize = 3;
+/// Number of members of other failure domains that a node pings.
+const REMOTE_PEERS: usize = 3;
 
-/// Returns the weight of `node` for the job whose seed this is. Every member is
-/// weighed at every look, so nothing is allocated here.
+/// Returns the weight of `node` for the job of `seed`.
+///
+/// Each ranking computes the weight of every member, so this does not allocate.
 fn weight(seed: u64, node: &Node) -> u64 {
     xxh3_64_with_seed(node.as_str().as_bytes(), seed)
 }
@@ -38,7 +40,7 @@
     xxh3_64(job.as_bytes())
 }
 
-/// Returns the place of `node` for `job` among `others`, 0 being first.
+/// Returns the rank of `node` for `job` among `others`; 0 is the first.
 fn place<'a>(job: &str, node: &Node, others: impl Iterator<Item = &'a Node>) -> usize {
     let seed = seed(job);
     let mine = weight(seed, node);
@@ -47,7 +49,9 @@
         .count()
 }
 
-/// Returns the place of `node` among the readers of its failure domain.
+/// Returns the rank of `node` among the alive members of `domain` for reading the log.
+///
+/// The first [`READERS`] ranks read.
 pub fn reader(table: &Table, domain: &Name, node: &Node) -> usize {
     let others = table
         .iter()
@@ -55,7 +59,9 @@
     place("reader", node, others.map(|m| &m.node))
 }
 
-/// Returns the place of `node` as the writer of snapshots for the mesh.
+/// Returns the rank of `node` among all alive members for writing snapshots.
+///
+/// The node with rank 0 writes.
 pub fn writer(table: &Table, node: &Node) -> usize {
     let others = table.iter().filter(|m| m.status == Status::Alive);
     place("writer", node, others.map(|m| &m.node))
@@ -69,14 +75,14 @@
 
 /// Returns the few members of its failure domain that `node` pings.
 ///
-/// They stay the same while nobody comes or goes, so connections to them are
-/// kept. With a random member each time every ping would pay for a new
-/// connection, and under TLS for a handshake.
+/// They stay the same while no member joins or leaves, so connections to them are
+/// reused. With a random member each time, every ping would need a new connection
+/// and, with TLS, a handshake.
 pub fn partners(table: &Table, domain: &Name, node: &Node) -> Vec<Arc<Member>> {
     let mut ring = neighbours(table, domain, node);
     let order = seed("ring");
     let me = weight(order, node);
-    // Distance along the ring from here.
+    // Sorts by the distance from `node` along the ring.
     ring.sort_by_cached_key(|member| weight(order, &member.node).wrapping_sub(me));
     let mut chords = ring.split_off(ring.len().min(SUCCESSORS));
     let order = seed(node.as_str());
@@ -89,20 +95,25 @@
 /// Returns the few members of other failure domains that `node` pings.
 pub fn far_partners(table: &Table, domain: &Name, node: &Node) -> Vec<Arc<Member>> {
     let order = seed(node.as_str());
-    let is_far = |m: &&Arc<Member>| m.domain != *domain && m.is_present();
-    let weighed = |m| (weight(order, &Arc::<Member>::as_ref(m).node), m);
-    let mut far: Vec<(u64, &Arc<Member>)> = table.iter().filter(is_far).map(weighed).collect();
-    if far.len() > FAR {
-        far.select_nth_unstable_by_key(FAR, |(weight, _)| *weight);
-        far.truncate(FAR);
+    let is_remote = |m: &&Arc<Member>| m.domain != *domain && m.is_present();
+    let with_weight = |m| (weight(order, &Arc::<Member>::as_ref(m).node), m);
+    let mut remote: Vec<(u64, &Arc<Member>)> =
+        table.iter().filter(is_remote).map(with_weight).collect();
+    if remote.len() > REMOTE_PEERS {
+        remote.select_nth_unstable_by_key(REMOTE_PEERS, |(weight, _)| *weight);
+        remote.truncate(REMOTE_PEERS);
     }
-    far.into_iter().map(|(_, member)| member.clone()).collect()
+    remote
+        .into_iter()
+        .map(|(_, member)| member.clone())
+        .collect()
 }
 
-/// Returns those before `node` among `members`, ranked for `job`, the nearest
-/// first; nothing if it is the first itself.
+/// Returns the members that rank before `node` for `job`, the nearest rank first; empty
+/// if `node` ranks first.
 ///
-/// Wide links go first: the first one carries what all others need to know.
+/// Members with more bandwidth rank first, because the first member sends the data that
+/// all others need.
 pub fn before<'a>(
     members: impl Iterator<Item = &'a Arc<Member>>,
     job: &str,
@@ -113,11 +124,11 @@
     let key = |bandwidth, node| (Reverse(bandwidth), weight(seed, node));
     let mine = key(bandwidth, node);
     let keyed = members.map(|member| (key(member.bandwidth, &member.node), member));
-    let mut lower: Vec<_> = keyed
+    let mut predecessors: Vec<_> = keyed
         .filter(|(key, member)| (*key, &member.node) < (mine, node))
         .collect();
-    lower.sort_unstable_by(|(one, a), (other, b)| (other, &b.node).cmp(&(one, &a.node)));
-    lower
+    predecessors.sort_unstable_by(|(key_a, a), (key_b, b)| (key_b, &b.node).cmp(&(key_a, &a.node)));
+    predecessors
         .into_iter()
         .map(|(_, member)| member.clone())
         .collect()
