--- a/src/coordination/scatter.rs
+++ b/src/coordination/scatter.rs
@@ -1,10 +1,10 @@
-//! One message to many nodes, with the count of their answers back.
+//! Sends one message to many nodes down a tree, and aggregates the count of their
+//! replies.
 //!
-//! The sender lays out the tree: it splits the list of nodes among a few
-//! children and each child splits its part again. A child that does not
-//! answer costs one timeout; its part goes to the next node in it. Views of
-//! membership may differ between nodes without harm, because only the
-//! sender's list counts.
+//! The sender determines the tree: it splits its list of nodes among a few children,
+//! and each child splits its part in the same way. A child that does not answer costs
+//! one timeout; its part then goes to the next node in that part. Member tables may
+//! differ between nodes without harm, because only the sender's list is used.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -16,13 +16,16 @@
     unit::Span,
 };
 
-/// Children of a node in the tree.
+/// Maximum number of children of a node in the tree.
 pub const FANOUT: usize = 8;
 
-/// How long one level of the tree may take.
-const LEVEL: Span = Span::from_millis(400);
+/// Maximum wait per level of the tree.
+const LEVEL_TIMEOUT: Span = Span::from_millis(400);
 
-/// Sends `load` to all of `slice` and returns how many have it in force.
+/// Sends `load` to all nodes of `slice` and returns how many of them have its version in
+/// force.
+///
+/// `me` is the address at which the receivers can fetch records that they lack.
 pub fn scatter(
     call: Call,
     me: SocketAddr,
@@ -30,41 +33,42 @@
     slice: Vec<SocketAddr>,
 ) -> BoxFuture<'static, Census> {
     async move {
-        let chunks = split(&slice, FANOUT);
-        let parts = chunks
+        let parts = split(&slice, FANOUT);
+        let branches = parts
             .into_iter()
-            .map(|chunk| branch(call.clone(), me, load.clone(), chunk));
+            .map(|part| send_to_part(call.clone(), me, load.clone(), part));
         let mut census = Census::default();
-        for part in join_all(parts).await {
-            census.add(part);
+        for counted in join_all(branches).await {
+            census.add(counted);
         }
         census
     }
     .boxed()
 }
 
-/// Splits `slice` into at most `most` parts of like size.
-pub fn split(slice: &[SocketAddr], most: usize) -> Vec<Vec<SocketAddr>> {
+/// Splits `slice` into at most `max_parts` contiguous parts of similar size.
+pub fn split(slice: &[SocketAddr], max_parts: usize) -> Vec<Vec<SocketAddr>> {
     if slice.is_empty() {
         return Vec::new();
     }
-    let size = slice.len().div_ceil(most);
+    let size = slice.len().div_ceil(max_parts);
     slice.chunks(size).map(<[SocketAddr]>::to_vec).collect()
 }
 
-/// Returns how long the head of a part with `rest` more nodes may take.
-fn patience(rest: usize) -> Span {
+/// Returns the maximum wait for the first node of a part that has `others` more nodes.
+fn max_wait(others: usize) -> Span {
     let mut levels = 1;
-    let mut left = rest;
-    while left > 0 {
+    let mut remaining = others;
+    while remaining > 0 {
         levels += 1;
-        left /= FANOUT;
+        remaining /= FANOUT;
     }
-    Span::from_millis(LEVEL.as_millis() * levels)
+    Span::from_millis(LEVEL_TIMEOUT.as_millis() * levels)
 }
 
-/// Gives one part to its first node that answers.
-async fn branch(call: Call, me: SocketAddr, load: Load, mut part: Vec<SocketAddr>) -> Census {
+/// Sends `load` to the first node of `part` that answers, which relays it to the nodes
+/// after it; returns the count for the whole part.
+async fn send_to_part(call: Call, me: SocketAddr, load: Load, mut part: Vec<SocketAddr>) -> Census {
     let mut census = Census::default();
     while !part.is_empty() {
         let head = part.remove(0);
@@ -73,13 +77,13 @@
             load: load.clone(),
             slice: part.clone(),
         };
-        let patience = patience(part.len());
-        let answer = tokio::time::timeout(
-            patience.duration() + Duration::from_millis(50),
-            call(head, Frame::Scatter(scatter), patience),
+        let max_wait = max_wait(part.len());
+        let reply = tokio::time::timeout(
+            max_wait.duration() + Duration::from_millis(50),
+            call(head, Frame::Scatter(scatter), max_wait),
         )
         .await;
-        if let Ok(Ok(Reply::Counted(counted))) = answer {
+        if let Ok(Ok(Reply::Counted(counted))) = reply {
             census.add(counted);
             return census;
         }
