--- a/src/coordination/snapshot.rs
+++ b/src/coordination/snapshot.rs
@@ -1,4 +1,5 @@
-//! Snapshots in the log, so that what must last outlives its retention.
+//! Reads and writes snapshots in the log, so that the configuration outlives the log's
+//! retention.
 
 use std::sync::Arc;
 
@@ -15,11 +16,11 @@
     unit::Span,
 };
 
-/// Bytes of a record that a part's own fields may take.
-const OVERHEAD: u64 = 256;
+/// Bytes of a record reserved for the fields of a part besides its content.
+const PART_OVERHEAD: u64 = 256;
 
-/// How often the duty looks whether a snapshot is due.
-const LOOK: Span = Span::from_millis(500);
+/// Interval at which the writer checks whether a snapshot is due.
+const CHECK_INTERVAL: Span = Span::from_millis(500);
 
 /// Returns the newest complete snapshot in the log.
 ///
@@ -34,7 +35,7 @@
     read_until(node, log, newest).await
 }
 
-/// Returns the newest complete snapshot in the log up to `until`.
+/// Returns the newest complete snapshot in the log whose version is at most `until`.
 ///
 /// # Errors
 ///
@@ -59,7 +60,7 @@
         }
         from += batch.records.len() as u64;
         for record in &batch.records {
-            // What is no part of a snapshot is a stranger's; passed over.
+            // Skips records that are not parts of a snapshot: other programs wrote them.
             if let Some(part) = wire::decode::<Part>(record)
                 .ok()
                 .filter(|part| part.version <= until)
@@ -70,20 +71,18 @@
     }
 }
 
-/// Writes the state held to the log.
-///
-/// Returns its version.
+/// Writes a snapshot of the current state to the log; returns its version.
 ///
 /// # Errors
 ///
-/// If the log does not take all parts; what it took is passed over by readers.
+/// If the log does not accept all parts. Readers skip the incomplete snapshot.
 pub async fn write(node: &Arc<Node>, log: &Log) -> Result<Version, Error> {
     let (version, bytes) = node
         .applier
         .look(|machine| (machine.version(), machine.snapshot()))
         .await?;
     let settings = &node.settings.log;
-    let max = settings.max_record.as_bytes() - OVERHEAD;
+    let max = settings.max_record.as_bytes() - PART_OVERHEAD;
     for part in split(&bytes, version, fastrand::u64(..), max as usize) {
         node.metrics.log_appends.inc();
         (log.append)(settings.snapshot_stream.clone(), wire::encode(&part)).await?;
@@ -96,15 +95,15 @@
     Ok(version)
 }
 
-/// Writes a snapshot every so often while this node is the writer; never
+/// Writes a snapshot at the configured interval while this node is the writer; never
 /// returns.
 pub async fn keep_written(node: Arc<Node>, log: Log) {
     let every = node.settings.log.snapshot_every;
-    let mut due = node.uptime_ms() + jitter(every).as_millis() / 2;
+    let mut due_ms = node.uptime_ms() + jitter(every).as_millis() / 2;
     loop {
-        tokio::time::sleep(LOOK.duration()).await;
-        // The rank looks at every member, so it is asked last.
-        let is_due = node.uptime_ms() >= due && node.is_ready() && !node.version().is_empty();
+        tokio::time::sleep(CHECK_INTERVAL.duration()).await;
+        // The rank is computed last, because it takes a pass over all members.
+        let is_due = node.uptime_ms() >= due_ms && node.is_ready() && !node.version().is_empty();
         if !is_due || rank::writer(&node.table.read(), &node.settings.node) != 0 {
             continue;
         }
@@ -116,6 +115,6 @@
                 jitter(Span::from_secs(5))
             }
         };
-        due = node.uptime_ms() + pause.as_millis();
+        due_ms = node.uptime_ms() + pause.as_millis();
     }
 }
