--- a/src/coordination/catchup.rs
+++ b/src/coordination/catchup.rs
@@ -1,4 +1,4 @@
-//! How a node that is behind gets ahead.
+//! Fetches newer configuration from peers, and answers such fetches.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -10,31 +10,32 @@
     unit::Span,
 };
 
-/// How long a fetch may take; a whole snapshot may be megabytes.
-const PATIENCE: Span = Span::from_secs(5);
+/// Maximum wait for a fetch; a whole snapshot may be megabytes.
+const FETCH_TIMEOUT: Span = Span::from_secs(5);
 
-/// Fetches from the node at `peer` whatever it has that is newer.
+/// Fetches from the node at `peer` the records or the snapshot that this node lacks.
 ///
-/// Returns how long to wait before asking it again, if it asks for that.
+/// Returns how long to wait before the next fetch, if the peer is busy or holds no
+/// complete view yet.
 ///
 /// # Errors
 ///
-/// If the peer does not answer or its answer can't be used.
+/// If the peer does not answer, or its reply can't be applied.
 pub async fn from_peer(
     node: &Arc<Node>,
     call: &Call,
     peer: SocketAddr,
 ) -> Result<Option<Span>, Error> {
     let held = node.applier.look(|machine| machine.version()).await?;
-    let reply = call(peer, Frame::Fetch(held), PATIENCE).await?;
+    let reply = call(peer, Frame::Fetch(held), FETCH_TIMEOUT).await?;
     let version = match reply {
         Reply::Records(records) => node.applier.records(held, records).await?,
         Reply::Snapshot(bytes) => node.applier.snapshot(bytes).await?,
         Reply::Current => held,
-        Reply::Later(span) => return Ok(Some(span)),
+        Reply::Later(pause) => return Ok(Some(pause)),
         _ => return Err(Error::Unexpected(peer.to_string())),
     };
-    // The peer gives only from a complete view, so now this one is complete.
+    // A peer serves fetches only from a complete view, so this state is complete now.
     node.applier.complete().await?;
     if version > held {
         let details = format_args!("version={version} was={held} peer={peer}");
@@ -43,7 +44,7 @@
     Ok(None)
 }
 
-/// Answers a peer's [`Frame::Fetch`] of what is newer than `from`.
+/// Returns the reply to a peer's [`Frame::Fetch`] of everything newer than `from`.
 ///
 /// # Errors
 ///
@@ -65,8 +66,8 @@
         .await
 }
 
-/// Returns a span between half of `span` and one and a half of it, so that
-/// nodes which began together do not stay together.
+/// Returns a random span between 0.5 and 1.5 times `span`, so that nodes that started
+/// at the same time don't stay synchronized.
 pub fn jitter(span: Span) -> Span {
     let millis = span.as_millis();
     Span::from_millis(millis / 2 + fastrand::u64(0..=millis))
