--- a/src/coordination/apply.rs
+++ b/src/coordination/apply.rs
@@ -1,8 +1,8 @@
-//! The duty that applies records and puts views in force.
+//! Applies records to the state machine and puts views in force.
 //!
-//! One thread owns the state machine. Others reach it through a bounded ring,
-//! so a version is put in force whole, in order, by one writer; readers of
-//! the view take a pointer and never wait.
+//! One thread owns the state machine and serves jobs from a bounded queue. This
+//! single writer puts each version in force atomically and in order. Readers load
+//! a pointer to the view and never block.
 
 use std::{sync::Arc, thread};
 
@@ -21,10 +21,10 @@
     },
 };
 
-/// Jobs that wait at a time.
-const RING: usize = 256;
+/// Maximum number of queued jobs.
+const QUEUE_CAPACITY: usize = 256;
 
-type Look = Box<dyn FnOnce(&Machine) + Send>;
+type Inspection = Box<dyn FnOnce(&Machine) + Send>;
 
 enum Job {
     Records {
@@ -42,46 +42,50 @@
         done: oneshot::Sender<Result<bool, Error>>,
     },
     Complete,
-    Look(Look),
+    Inspect(Inspection),
 }
 
 /// A handle to the applying thread.
 #[derive(Clone)]
 pub struct Applier {
-    ring: mpsc::Sender<Job>,
+    jobs: mpsc::Sender<Job>,
     version: watch::Receiver<Version>,
 }
 
-/// The end that [`Queue::run`] serves.
+/// The receiving end of the job queue, served by [`Queue::run`].
 pub struct Queue {
-    ring: mpsc::Receiver<Job>,
+    jobs: mpsc::Receiver<Job>,
     version: watch::Sender<Version>,
 }
 
-/// Returns a handle and the queue behind it.
+/// Returns a handle and the job queue that it sends to.
 pub fn channel() -> (Applier, Queue) {
-    let (ring, jobs) = mpsc::channel(RING);
-    let (set, version) = watch::channel(Version::default());
+    let (sender, jobs) = mpsc::channel(QUEUE_CAPACITY);
+    let (version_sender, version) = watch::channel(Version::default());
     (
-        Applier { ring, version },
+        Applier {
+            jobs: sender,
+            version,
+        },
         Queue {
-            ring: jobs,
-            version: set,
+            jobs,
+            version: version_sender,
         },
     )
 }
 
 impl Applier {
-    /// Applies `records`, of which the first continues `from`. Those already
-    /// applied are passed over.
+    /// Applies `records`, the first of which continues version `from`. Records that
+    /// are already applied are skipped.
     ///
-    /// Returns the version held afterwards.
+    /// Returns the version of the state machine afterwards.
     ///
     /// # Errors
     ///
-    /// If they leave a gap or need a newer program.
+    /// If records are missing between the applied version and `from`, or if a record
+    /// needs a newer version of this program.
     pub async fn records(&self, from: Version, records: Vec<Bytes>) -> Result<Version, Error> {
-        self.ask(|done| Job::Records {
+        self.submit(|done| Job::Records {
             from,
             records,
             done,
@@ -89,25 +93,25 @@
         .await?
     }
 
-    /// Takes a snapshot in, if it is newer than what is held.
+    /// Replaces the state by a snapshot, if the snapshot is newer.
     ///
-    /// Returns the version held afterwards.
+    /// Returns the version of the state machine afterwards.
     ///
     /// # Errors
     ///
-    /// If the snapshot is damaged or needs a newer program.
+    /// If the snapshot is damaged or needs a newer version of this program.
     pub async fn snapshot(&self, bytes: Bytes) -> Result<Version, Error> {
-        self.ask(|done| Job::Snapshot { bytes, done }).await?
+        self.submit(|done| Job::Snapshot { bytes, done }).await?
     }
 
-    /// Continues with the epoch that `restore` begins; returns whether the
-    /// state held is the one that goes on.
+    /// Begins the epoch of `restore`, whose record is at `offset`; returns whether
+    /// the current state is the one that the new epoch continues.
     ///
     /// # Errors
     ///
     /// Only if the daemon is ending.
     pub async fn restore(&self, offset: u64, restore: Restore) -> Result<bool, Error> {
-        self.ask(|done| Job::Restore {
+        self.submit(|done| Job::Restore {
             offset,
             restore,
             done,
@@ -115,19 +119,19 @@
         .await?
     }
 
-    /// Declares what is held to be complete, so that it is put in force.
+    /// Marks the current state as complete, so that it is put in force.
     ///
     /// # Errors
     ///
     /// Only if the daemon is ending.
     pub async fn complete(&self) -> Result<(), Error> {
-        self.ring
+        self.jobs
             .send(Job::Complete)
             .await
             .map_err(|_| Error::Ending)
     }
 
-    /// Returns what `look` finds in the state machine.
+    /// Returns the result of `look`, run on the state machine by the applying thread.
     ///
     /// # Errors
     ///
@@ -137,52 +141,52 @@
         T: Send + 'static,
         F: FnOnce(&Machine) -> T + Send + 'static,
     {
-        self.ask(|done| {
-            Job::Look(Box::new(move |machine| {
-                // The asker may have given up; then nobody wants the answer.
+        self.submit(|done| {
+            Job::Inspect(Box::new(move |machine| {
+                // Fails only if the requester no longer waits for the result.
                 let _ = done.send(look(machine));
             }))
         })
         .await
     }
 
-    /// Waits until `version` is applied here.
+    /// Waits until `version` is in force on this node.
     ///
     /// # Errors
     ///
     /// Only if the daemon is ending.
     pub async fn reached(&self, version: Version) -> Result<(), Error> {
         let mut watch = self.version.clone();
-        let reached = watch.wait_for(|held| *held >= version).await;
-        reached.map(|_| ()).map_err(|_| Error::Ending)
+        let result = watch.wait_for(|held| *held >= version).await;
+        result.map(|_| ()).map_err(|_| Error::Ending)
     }
 
-    async fn ask<T>(&self, job: impl FnOnce(oneshot::Sender<T>) -> Job) -> Result<T, Error> {
-        let (done, answer) = oneshot::channel();
-        self.ring.send(job(done)).await.map_err(|_| Error::Ending)?;
-        answer.await.map_err(|_| Error::Ending)
+    async fn submit<T>(&self, job: impl FnOnce(oneshot::Sender<T>) -> Job) -> Result<T, Error> {
+        let (done, result) = oneshot::channel();
+        self.jobs.send(job(done)).await.map_err(|_| Error::Ending)?;
+        result.await.map_err(|_| Error::Ending)
     }
 }
 
 impl Queue {
-    /// Starts the thread that serves `node`'s jobs until all handles are gone.
+    /// Starts the thread that serves `node`'s jobs until all handles are dropped.
     ///
     /// # Panics
     ///
-    /// If the system can't start a thread.
+    /// If the operating system can't start a thread.
     pub fn run(self, node: Arc<Node>) {
         let worker = Worker {
             machine: Machine::new(),
-            complete: false,
+            is_complete: false,
             version: self.version,
             node,
         };
-        let mut ring = self.ring;
+        let mut jobs = self.jobs;
         thread::Builder::new()
             .name("apply".into())
             .spawn(move || {
                 let mut worker = worker;
-                while let Some(job) = ring.blocking_recv() {
+                while let Some(job) = jobs.blocking_recv() {
                     worker.serve(job);
                 }
             })
@@ -192,14 +196,14 @@
 
 struct Worker {
     machine: Machine,
-    complete: bool,
+    is_complete: bool,
     version: watch::Sender<Version>,
     node: Arc<Node>,
 }
 
 impl Worker {
     fn serve(&mut self, job: Job) {
-        // A send fails only when the asker has given up.
+        // A send fails only if the requester no longer waits for the result.
         match job {
             Job::Records {
                 from,
@@ -213,7 +217,7 @@
                 done,
             } => drop(done.send(Ok(self.restore(offset, &restore)))),
             Job::Complete => self.complete(),
-            Job::Look(look) => look(&self.machine),
+            Job::Inspect(inspect) => inspect(&self.machine),
         }
     }
 
@@ -226,8 +230,8 @@
             }
             .into());
         }
-        let known = (held.offset - from.offset) as usize;
-        for record in records.into_iter().skip(known) {
+        let applied_count = (held.offset - from.offset) as usize;
+        for record in records.into_iter().skip(applied_count) {
             let result = self.machine.apply(self.machine.version().offset, record);
             if let Err(error) = &result {
                 self.node
@@ -235,22 +239,22 @@
                     .write(Event::RulesUnknown, format_args!("error={error}"));
             }
             let applied = result?;
-            self.report(&applied);
+            self.log_rejection(&applied);
             self.put_in_force(Some(&applied.touched));
         }
         Ok(self.machine.version())
     }
 
     fn snapshot(&mut self, bytes: &Bytes) -> Result<Version, Error> {
-        let found = Machine::from_snapshot(bytes);
-        if let Err(error) = &found {
+        let decoded = Machine::from_snapshot(bytes);
+        if let Err(error) = &decoded {
             self.node
                 .journal
                 .write(Event::SnapshotBad, format_args!("error={error}"));
         }
-        let found = found?;
-        if found.version() > self.machine.version() {
-            self.machine = found;
+        let machine = decoded?;
+        if machine.version() > self.machine.version() {
+            self.machine = machine;
             let (version, size) = (self.machine.version(), bytes.len());
             self.node.journal.write(
                 Event::SnapshotTaken,
@@ -262,20 +266,20 @@
     }
 
     fn restore(&mut self, offset: u64, restore: &Restore) -> bool {
-        let continues = self.machine.restore(offset, restore);
-        if continues {
+        let is_continued = self.machine.restore(offset, restore);
+        if is_continued {
             self.node.journal.write(
                 Event::EpochBegan,
                 format_args!("version={}", self.machine.version()),
             );
             self.put_in_force(Some(&Touched::default()));
         }
-        continues
+        is_continued
     }
 
     fn complete(&mut self) {
-        if !self.complete {
-            self.complete = true;
+        if !self.is_complete {
+            self.is_complete = true;
             self.put_in_force(None);
             let (version, resources) = (self.machine.version(), self.machine.set().len());
             let details = format_args!("version={version} resources={resources}");
@@ -283,7 +287,7 @@
         }
     }
 
-    fn report(&self, applied: &Applied) {
+    fn log_rejection(&self, applied: &Applied) {
         if applied.verdict.is_accepted() {
             return;
         }
@@ -296,10 +300,12 @@
         self.node.journal.write(Event::ChangeRejected, details);
     }
 
-    /// Puts the machine's state in force: computed from the view before it
-    /// where `touched` says what differs, else from nothing.
+    /// Puts the machine's state in force, if it is complete.
+    ///
+    /// If `touched` lists the changes since the view in force, the new view is derived
+    /// from that view; otherwise it is built from scratch.
     fn put_in_force(&self, touched: Option<&Touched>) {
-        if !self.complete {
+        if !self.is_complete {
             return;
         }
         let (version, set) = (self.machine.version(), self.machine.set().clone());
