--- a/src/coordination/follow.rs
+++ b/src/coordination/follow.rs
@@ -1,8 +1,9 @@
-//! The duty that follows the log for its failure domain.
+//! Reads the log on behalf of a failure domain.
 //!
-//! A few nodes of each failure domain read the configuration stream and
-//! spread what they read to the others there. The first of them spreads at
-//! once; the next waits a moment and spreads only what it has not heard of.
+//! A few nodes of each failure domain, the readers, read the configuration stream
+//! and scatter the records to the other nodes of the domain. The first reader
+//! scatters at once. Each further reader waits first, and scatters only if it has
+//! not received those records from another reader by then.
 
 use std::{
     net::SocketAddr,
@@ -14,7 +15,7 @@
     coordination::{
         Error, catchup, gossip,
         link::{Call, Log},
-        node::{Node, Trouble},
+        node::{LogFault, Node},
         rank, scatter, snapshot,
     },
     event::Event,
@@ -29,68 +30,70 @@
     unit::Span,
 };
 
-/// How long each further reader waits before it spreads in place of the
-/// first.
-const STAGGER: Span = Span::from_millis(150);
+/// Delay before the second reader scatters; the third waits twice as long, and so on.
+const READER_DELAY: Span = Span::from_millis(150);
 
-/// The first and longest pause after the log failed.
-const BACKOFF: (Span, Span) = (Span::from_millis(200), Span::from_secs(5));
+/// The first and the longest pause after a failed read of the log.
+const LOG_BACKOFF: (Span, Span) = (Span::from_millis(200), Span::from_secs(5));
 
-/// How often a fresh node looks whether its peers have been asked.
-const SETTLE: Span = Span::from_millis(50);
+/// Interval at which a starting node checks whether its peers have been asked for a
+/// view.
+const JOIN_CHECK_INTERVAL: Span = Span::from_millis(50);
 
-/// How often a node that is no reader looks whether it has become one.
-const LOOK: Span = Span::from_millis(250);
+/// Interval at which a node that is not a reader checks whether it has become one.
+const ROLE_CHECK_INTERVAL: Span = Span::from_millis(250);
 
-/// Whether a read brought anything.
+/// Whether a read of the log changed the state.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Progress {
     Made,
     Idle,
 }
 
-/// The duty's state.
+/// The task that reads the log while this node is a reader.
 pub struct Follow {
     node: Arc<Node>,
     call: Call,
     log: Log,
-    reading: bool,
+    is_reader: bool,
+    /// Consecutive failures of the log.
     failures: u32,
-    /// What the members of this failure domain hold, while batches come in.
-    unspread: Option<Version>,
+    /// The version after which records still have to be scattered; `None` if all have
+    /// been.
+    scatter_from: Option<Version>,
 }
 
 impl Follow {
-    /// Returns the duty for `node`.
+    /// Returns the task for `node`.
     pub fn new(node: Arc<Node>, call: Call, log: Log) -> Self {
         Self {
             node,
             call,
             log,
-            reading: false,
+            is_reader: false,
             failures: 0,
-            unspread: None,
+            scatter_from: None,
         }
     }
 
     /// Runs until the future is dropped.
     pub async fn run(mut self) {
         while !self.node.joined.load(Ordering::Relaxed) {
-            tokio::time::sleep(SETTLE.duration()).await;
+            tokio::time::sleep(JOIN_CHECK_INTERVAL.duration()).await;
         }
         loop {
             let place = self.place();
-            self.note(place);
+            self.note_role(place);
             if place >= rank::READERS {
-                tokio::time::sleep(LOOK.duration()).await;
+                tokio::time::sleep(ROLE_CHECK_INTERVAL.duration()).await;
                 continue;
             }
-            let since = Instant::now();
+            let started_at = Instant::now();
             match self.read(place).await {
-                // A log that answers at once although it has nothing new.
-                Ok(Progress::Idle) if since.elapsed() < LOOK.duration() => {
+                // The log had nothing new and answered at once: avoid a busy loop.
+                Ok(Progress::Idle) if started_at.elapsed() < ROLE_CHECK_INTERVAL.duration() => {
                     self.succeeded();
-                    tokio::time::sleep(catchup::jitter(LOOK).duration()).await;
+                    tokio::time::sleep(catchup::jitter(ROLE_CHECK_INTERVAL).duration()).await;
                 }
                 Ok(_) => self.succeeded(),
                 Err(error) => self.failed(&error).await,
@@ -103,13 +106,13 @@
         rank::reader(&self.node.table.read(), &settings.domain, &settings.node)
     }
 
-    fn note(&mut self, place: usize) {
-        let reading = place < rank::READERS;
-        if reading != self.reading {
-            self.reading = reading;
+    fn note_role(&mut self, place: usize) {
+        let is_reader = place < rank::READERS;
+        if is_reader != self.is_reader {
+            self.is_reader = is_reader;
             self.node.journal.write(
                 Event::ReaderChanged,
-                format_args!("reading={reading} place={place}"),
+                format_args!("reading={is_reader} place={place}"),
             );
         }
     }
@@ -121,8 +124,8 @@
         }
     }
 
-    /// Waits before the next try, and meanwhile asks another failure domain:
-    /// it may reach the log when this one can't.
+    /// Waits with exponential backoff, then fetches from a node of another failure
+    /// domain, which may reach the log even if this one can't.
     async fn failed(&mut self, error: &Error) {
         if self.failures == 0 {
             self.node
@@ -131,17 +134,17 @@
         }
         self.failures += 1;
         self.node
-            .set_trouble(Some(Trouble::LogDown(error.to_string())));
-        let (first, longest) = BACKOFF;
-        let doubled = first.as_millis() << self.failures.min(10);
-        let pause = Span::from_millis(doubled.min(longest.as_millis()));
+            .set_log_fault(Some(LogFault::LogDown(error.to_string())));
+        let (first, longest) = LOG_BACKOFF;
+        let millis = first.as_millis() << self.failures.min(10);
+        let pause = Span::from_millis(millis.min(longest.as_millis()));
         tokio::time::sleep(catchup::jitter(pause).duration()).await;
-        self.ask_elsewhere().await;
+        self.fetch_remote().await;
     }
 
-    async fn ask_elsewhere(&self) {
+    async fn fetch_remote(&self) {
         let domain = &self.node.settings.domain;
-        let far: Vec<SocketAddr> = {
+        let remote: Vec<SocketAddr> = {
             let table = self.node.table.read();
             table
                 .iter()
@@ -149,7 +152,7 @@
                 .map(|m| m.peers)
                 .collect()
         };
-        let Some(peer) = fastrand::choice(far) else {
+        let Some(peer) = fastrand::choice(remote) else {
             return;
         };
         let before = self.node.version();
@@ -157,11 +160,14 @@
             .await
             .is_ok()
         {
-            self.spread(before, 0).await;
+            self.scatter(before, 0).await;
         }
     }
 
-    /// Reads the log once, waiting there for something new.
+    /// Reads the log once, waiting at the log for new records; applies and scatters
+    /// them.
+    ///
+    /// A node without a view does not wait.
     async fn read(&mut self, place: usize) -> Result<Progress, Error> {
         let held = self.node.applier.look(|machine| machine.version()).await?;
         let wait = if self.node.view.load().is_some() {
@@ -173,42 +179,45 @@
         self.node.metrics.log_reads.inc();
         let batch = (self.log.read)(stream, held.offset, wait).await?;
         if batch.next < held.offset {
-            self.went_back(held, &batch).await?;
+            self.handle_truncation(held, &batch).await?;
             return Ok(Progress::Made);
         }
         if batch.first > held.offset {
-            self.bridge(held, &batch).await?;
+            self.load_snapshot(held, &batch).await?;
             return Ok(Progress::Made);
         }
         let next = batch.next;
-        let from = *self.unspread.get_or_insert(held);
-        let found = self.node.applier.records(held, batch.records).await?;
-        self.node.set_trouble(None);
-        if found.offset >= next {
-            self.node.touch();
+        let from = *self.scatter_from.get_or_insert(held);
+        let applied = self.node.applier.records(held, batch.records).await?;
+        self.node.set_log_fault(None);
+        if applied.offset >= next {
+            self.node.mark_current();
             self.node.applier.complete().await?;
-            // Several batches may have come since; members lack them all.
-            self.spread(from, place).await;
-            self.unspread = None;
+            // Scatters all batches since `from`: earlier ones may not have reached the
+            // end of the log.
+            self.scatter(from, place).await;
+            self.scatter_from = None;
         }
-        Ok(if found > held {
+        Ok(if applied > held {
             Progress::Made
         } else {
             Progress::Idle
         })
     }
 
-    /// Passes on what was applied since `before`, to the members of this
-    /// failure domain, unless another reader did.
-    async fn spread(&self, before: Version, place: usize) {
+    /// Scatters the records applied since `before` to the members of this failure
+    /// domain, unless another reader has done so.
+    ///
+    /// A reader at `place` 0 does so at once; any other waits for its delay first.
+    async fn scatter(&self, before: Version, place: usize) {
         let version = self.node.version();
         if version <= before {
             return;
         }
         if place > 0 {
-            let pause = STAGGER.duration() * place as u32;
+            let pause = READER_DELAY.duration() * place as u32;
             tokio::time::sleep(pause).await;
-            if *self.node.heard.lock() >= version {
+            if *self.node.newest_received.lock() >= version {
                 return;
             }
         }
@@ -222,17 +231,19 @@
                 from: before,
                 records,
             },
-            // Too far back for records: members fetch a snapshot when they
-            // hear of the version.
+            // This node no longer keeps the records since `before`. Members fetch a snapshot
+            // once they learn of the version.
             _ => Load::Count { version },
         };
         let settings = &self.node.settings;
-        let mut near = rank::neighbours(&self.node.table.read(), &settings.domain, &settings.node);
-        // Those in doubt come last, where nobody waits behind them.
-        near.sort_by_key(|member| member.status);
-        let slice = near.iter().map(|member| member.peers).collect();
+        let mut neighbours =
+            rank::neighbours(&self.node.table.read(), &settings.domain, &settings.node);
+        // Suspect and leaving members come last, so that no other member waits for their
+        // timeouts.
+        neighbours.sort_by_key(|member| member.status);
+        let slice = neighbours.iter().map(|member| member.peers).collect();
         let (node, call) = (self.node.clone(), self.call.clone());
-        // The next records must not wait for a slow member.
+        // Runs in the background, so that a slow member does not delay the next read.
         tokio::spawn(async move {
             let census = scatter::scatter(call, node.peers, load, slice).await;
             let (current, behind, silent) = (census.current, census.behind, census.silent);
@@ -242,24 +253,27 @@
         });
     }
 
-    /// The records that come next have expired: somebody else has them, or a
-    /// snapshot covers them. Nothing is ever skipped.
-    async fn bridge(&mut self, held: Version, batch: &Batch) -> Result<(), Error> {
+    /// Loads a snapshot, because the records after `held` have expired from the log.
+    ///
+    /// # Errors
+    ///
+    /// If no snapshot reaches up to the log's first record: no record is ever skipped.
+    async fn load_snapshot(&mut self, held: Version, batch: &Batch) -> Result<(), Error> {
         self.node.journal.write(
             Event::LogGap,
             format_args!("held={held} first={}", batch.first),
         );
-        let found = snapshot::read(&self.node, &self.log).await?;
-        let Some((version, bytes)) = found.filter(|(version, _)| *version > held) else {
+        let newest = snapshot::read(&self.node, &self.log).await?;
+        let Some((version, bytes)) = newest.filter(|(version, _)| *version > held) else {
             let what = format!(
-                "records from {} on have expired and no snapshot covers them",
+                "the log: records from offset {} on have expired and no snapshot covers them",
                 held.offset
             );
             return Err(Error::Unexpected(what));
         };
         if version.offset < batch.first {
             let what = format!(
-                "the newest snapshot, {version}, ends before the log's first record, {}",
+                "the log: its newest snapshot, version {version}, ends before its first record, offset {}",
                 batch.first
             );
             return Err(Error::Unexpected(what));
@@ -268,14 +282,16 @@
         Ok(())
     }
 
-    /// The log ends before the version held: it lost its end or is another
-    /// log. The state held stays in force; only an operator's restore goes on
-    /// from here.
-    async fn went_back(&mut self, held: Version, batch: &Batch) -> Result<(), Error> {
+    /// Handles a log that ends before the version held, because its last records were
+    /// lost or it is a different log.
+    ///
+    /// The current state stays in force. Only a restore by an operator begins a new epoch,
+    /// which the node then continues with.
+    async fn handle_truncation(&mut self, held: Version, batch: &Batch) -> Result<(), Error> {
         let next = batch.next;
         if self
             .node
-            .set_trouble(Some(Trouble::LogWentBack { held, next }))
+            .set_log_fault(Some(LogFault::LogWentBack { held, next }))
         {
             self.node.journal.write(
                 Event::LogWentBack,
@@ -283,17 +299,19 @@
             );
         }
         let Some((offset, restore)) = self.find_restore(held, batch).await? else {
-            tokio::time::sleep(catchup::jitter(BACKOFF.1).duration()).await;
+            tokio::time::sleep(catchup::jitter(LOG_BACKOFF.1).duration()).await;
             return Ok(());
         };
         let before = self.node.version();
         if self.node.applier.restore(offset, restore).await? {
-            self.node.set_trouble(None);
-            self.spread(before, 0).await;
+            self.node.set_log_fault(None);
+            self.scatter(before, 0).await;
         }
         Ok(())
     }
 
+    /// Returns the first restore record in the log that begins the epoch after that of
+    /// `held`, with its offset.
     async fn find_restore(
         &self,
         held: Version,
@@ -302,11 +320,11 @@
         let stream = self.node.settings.log.config_stream.clone();
         let mut from = batch.first;
         while from < batch.next {
-            let part = (self.log.read)(stream.clone(), from, Span::default()).await?;
-            if part.records.is_empty() {
+            let chunk = (self.log.read)(stream.clone(), from, Span::default()).await?;
+            if chunk.records.is_empty() {
                 break;
             }
-            for record in &part.records {
+            for record in &chunk.records {
                 if let Ok(Entry::Restore(restore)) = Entry::decode(record)
                     && restore.epoch == held.epoch + 1
                 {
@@ -319,7 +337,8 @@
     }
 }
 
-/// Takes a scattered message in, passes it on and returns the count.
+/// Applies a scattered message, relays it to its recipients and returns the
+/// aggregated count.
 ///
 /// # Errors
 ///
@@ -333,9 +352,10 @@
         },
         Load::Count { version } => *version,
     };
-    let onward = scatter::scatter(call.clone(), node.peers, load.clone(), slice);
-    let (here, mut census) = tokio::join!(take_here(node, call, from, load, wanted), onward);
-    if here {
+    let relayed = scatter::scatter(call.clone(), node.peers, load.clone(), slice);
+    let (is_current, mut census) =
+        tokio::join!(apply_load(node, call, from, load, wanted), relayed);
+    if is_current {
         census.current += 1;
     } else {
         census.behind += 1;
@@ -344,8 +364,9 @@
     Ok(Reply::Counted(census))
 }
 
-/// Puts what came in force here; returns whether `wanted` is.
-async fn take_here(
+/// Puts the records of `load` in force on this node; returns whether `wanted` is in
+/// force afterwards.
+async fn apply_load(
     node: &Arc<Node>,
     call: &Call,
     from: SocketAddr,
@@ -359,39 +380,39 @@
     {
         let applied = node.applier.records(base, records).await;
         if applied.is_err() && node.view.load().is_some() {
-            // A gap: the sender has what is missing.
+            // Records before these are missing; the sender has them.
             let _ = catchup::from_peer(node, call, from).await;
         }
-        note_heard(node, wanted);
+        note_received(node, wanted);
     }
-    let current = node.version() >= wanted;
-    if current {
-        node.touch();
+    let is_current = node.version() >= wanted;
+    if is_current {
+        node.mark_current();
     }
-    current
+    is_current
 }
 
-fn note_heard(node: &Node, version: Version) {
-    let mut heard = node.heard.lock();
-    *heard = (*heard).max(version);
+fn note_received(node: &Node, version: Version) {
+    let mut newest = node.newest_received.lock();
+    *newest = (*newest).max(version);
 }
 
-/// Keeps a fresh node asking until it has a view.
+/// Fetches from random peers until this node has a view.
 pub async fn until_complete(node: Arc<Node>, call: Call) {
     while node.view.load().is_none() {
         let peer = {
             let table = node.table.read();
             let me = &node.settings.node;
-            let others: Vec<SocketAddr> = table
+            let peers: Vec<SocketAddr> = table
                 .iter()
                 .filter(|m| m.node != *me && m.is_present())
                 .map(|m| m.peers)
                 .collect();
-            fastrand::choice(others)
+            fastrand::choice(peers)
         };
         let mut pause = Span::from_millis(300);
         if let Some(peer) = peer {
-            // Any failure is met by asking another one.
+            // After a failure, the next round asks another peer.
             if let Ok(Some(later)) = catchup::from_peer(&node, &call, peer).await {
                 pause = later;
             }
--- a/src/coordination/gossip.rs
+++ b/src/coordination/gossip.rs
@@ -1,12 +1,16 @@
-//! Membership: who is there, at constant cost for each node.
+//! Membership by gossip, in the manner of SWIM, at constant cost for each node.
 //!
-//! Each period a node pings one of a few partners in its own failure domain,
-//! which stay the same so that connections are kept. If it does not answer, two
-//! others are asked to try before it becomes suspect, and a suspect that does
-//! not refute in time is gone. Only a failure domain judges its own members:
-//! when domains are cut off from each other, each keeps what it last knew of
-//! the others instead of declaring them all gone. News rides on pings; a
-//! comparison of whole tables now and then repairs what that missed.
+//! Each period a node pings one of a few peers in its own failure domain. These
+//! stay the same, so that connections are reused. If the peer does not answer, two
+//! other nodes are asked to ping it before it becomes suspect. A suspect member
+//! that does not refute the suspicion in time is declared gone.
+//!
+//! Members are suspected and declared gone only within their own failure domain.
+//! When domains are partitioned from each other, each keeps its last state of the
+//! others instead of declaring all their members gone.
+//!
+//! Member updates are piggybacked on pings. A periodic comparison of whole tables
+//! repairs the updates that were missed.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -28,90 +32,96 @@
     unit::Span,
 };
 
-/// Members carried by one ping.
-const NEWS: usize = 16;
+/// Maximum number of member updates in one ping.
+const UPDATES_PER_PING: usize = 16;
 
-/// Members asked to try a silent one.
-const HELPERS: usize = 2;
+/// Number of helpers: members that are asked to ping a member that did not answer.
+const INDIRECT_PROBES: usize = 2;
 
-/// Every so many periods a partner in another failure domain is pinged too.
-const FAR_EVERY: u64 = 5;
+/// Number of periods between pings to another failure domain.
+const REMOTE_PING_PERIODS: u64 = 5;
 
-/// Peers a fresh node asks for the newest view before it takes one.
-const SOURCES: usize = 5;
+/// Maximum number of seeds, and of peers in its failure domain, that a starting node
+/// asks for their version before it fetches a view.
+const JOIN_PEERS: usize = 5;
 
-/// Pause of a fresh node that got no view from any peer.
-const RETRY: Span = Span::from_millis(300);
+/// Pause of a starting node that got no view from any peer.
+const JOIN_RETRY_PAUSE: Span = Span::from_millis(300);
 
-/// How long a member that is gone stays in the table, so that late news of
-/// its life is known to be old.
-const REMEMBER: Span = Span::from_secs(3600);
+/// How long a member that is gone stays in the table, so that late updates about its
+/// incarnation are recognized as old.
+const GONE_RETENTION: Span = Span::from_secs(3600);
 
-/// Wait before fetching from a peer that is ahead: the tree is likely
-/// bringing the same records just now.
-const GRACE: Span = Span::from_millis(250);
+/// Delay before fetching from a peer that is ahead: the same records are likely to
+/// arrive through the scatter tree in the meantime.
+const FETCH_DELAY: Span = Span::from_millis(250);
 
-/// Members that are news to others, each with how often it still is told.
+/// Member updates to be piggybacked on pings, each with the number of times that it
+/// has been sent.
 #[derive(Debug)]
-pub struct Rumors {
-    waiting: VecDeque<(Member, u32)>,
+pub struct UpdateQueue {
+    queue: VecDeque<(Member, u32)>,
 }
 
-impl Rumors {
-    /// Returns rumors that begin with the node itself.
+impl UpdateQueue {
+    /// Returns a queue that holds this node's own record.
     pub fn new(me: &Member) -> Self {
-        let mut rumors = Self {
-            waiting: VecDeque::new(),
+        let mut updates = Self {
+            queue: VecDeque::new(),
         };
-        rumors.add(me.clone());
-        rumors
+        updates.add(me.clone());
+        updates
     }
 
-    /// Adds news about a member, in place of older news about it.
+    /// Adds an update about a member in place of an older one.
     pub fn add(&mut self, member: Member) {
-        self.waiting.retain(|(other, _)| other.node != member.node);
-        self.waiting.push_front((member, 0));
+        self.queue.retain(|(other, _)| other.node != member.node);
+        self.queue.push_front((member, 0));
     }
 
-    /// Returns the next few to be told, in a mesh of `members`.
+    /// Returns the updates for the next ping, in a mesh with this number of `members`.
+    ///
+    /// Each update is sent a number of times that grows with the logarithm of
+    /// `members`, and is then dropped.
     pub fn take(&mut self, members: usize) -> Vec<Member> {
-        let times = usize::BITS - members.leading_zeros() + 4;
-        let count = self.waiting.len().min(NEWS);
-        let mut told = Vec::with_capacity(count);
+        let max_sends = usize::BITS - members.leading_zeros() + 4;
+        let count = self.queue.len().min(UPDATES_PER_PING);
+        let mut taken = Vec::with_capacity(count);
         for _ in 0..count {
-            let Some((member, already)) = self.waiting.pop_front() else {
+            let Some((member, sends)) = self.queue.pop_front() else {
                 break;
             };
-            told.push(member.clone());
-            if already + 1 < times {
-                self.waiting.push_back((member, already + 1));
+            taken.push(member.clone());
+            if sends + 1 < max_sends {
+                self.queue.push_back((member, sends + 1));
             }
         }
-        told
+        taken
     }
 }
 
-/// The duty's state.
+/// The task that probes members and exchanges member updates.
 pub struct Gossip {
     node: Arc<Node>,
     call: Call,
-    round: VecDeque<id::Node>,
-    /// Since when members have been suspect or gone.
-    since: HashMap<id::Node, (Status, Instant)>,
+    /// Peers still to be probed in this round.
+    probe_order: VecDeque<id::Node>,
+    /// When this node first saw each suspect or gone member in that status.
+    status_since: HashMap<id::Node, (Status, Instant)>,
     synced_at: Instant,
-    rounds: u64,
+    periods: u64,
 }
 
 impl Gossip {
-    /// Returns the duty for `node`.
+    /// Returns the task for `node`.
     pub fn new(node: Arc<Node>, call: Call) -> Self {
         Self {
             node,
             call,
-            round: VecDeque::new(),
-            since: HashMap::new(),
+            probe_order: VecDeque::new(),
+            status_since: HashMap::new(),
             synced_at: Instant::now(),
-            rounds: 0,
+            periods: 0,
         }
     }
 
@@ -120,56 +130,59 @@
         self.join().await;
         let period = self.node.settings.membership.period;
         loop {
-            self.turn().await;
-            let tenth = period.as_millis() / 10;
-            let pause = period.as_millis() - tenth + fastrand::u64(0..=2 * tenth);
+            self.run_period().await;
+            let jitter = period.as_millis() / 10;
+            let pause = period.as_millis() - jitter + fastrand::u64(0..=2 * jitter);
             tokio::time::sleep(Span::from_millis(pause).duration()).await;
         }
     }
 
-    /// Finds the mesh through the seeds and takes the newest complete view
-    /// among several peers.
+    /// Joins the mesh through the seeds and fetches the newest complete view among
+    /// several peers.
     ///
-    /// Returns once there is a view, or no peer that answers has one. Only
-    /// then may the log be read: it may have lost its end, and a view from it
-    /// would be older than what this failure domain already had in force.
+    /// Returns once a view is in force, or once no peer that answers has one. The log
+    /// may be read only after that: if its last records were lost, a view from it
+    /// would be older than the one that this failure domain already had in force.
     async fn join(&mut self) {
         while self.node.view.load().is_none() {
-            let found = self.newest_sources().await;
-            if found.iter().all(|(version, _)| version.is_empty()) {
+            let sources = self.newest_sources().await;
+            if sources.iter().all(|(version, _)| version.is_empty()) {
                 break;
             }
-            let peers = found.iter().map(|(_, peer)| *peer);
-            if let Some(pause) = self.first_view(peers).await {
+            let peers = sources.iter().map(|(_, peer)| *peer);
+            if let Some(pause) = self.fetch_view(peers).await {
                 tokio::time::sleep(pause.duration()).await;
             }
         }
         self.node.joined.store(true, Ordering::Relaxed);
     }
 
-    /// Takes a view from the first of `peers` that gives one; else returns how
-    /// long to leave them all alone. A failure domain that comes back at once
-    /// would have its few sources busy with refusing, and nothing else.
-    async fn first_view(&self, peers: impl Iterator<Item = SocketAddr>) -> Option<Span> {
-        let mut pause = RETRY;
+    /// Fetches a view from the first of `peers` that provides one.
+    ///
+    /// If none does, returns how long to wait before any of them is asked again. When
+    /// a whole failure domain restarts, the few peers with a view would otherwise be
+    /// kept busy with nothing but rejecting requests.
+    async fn fetch_view(&self, peers: impl Iterator<Item = SocketAddr>) -> Option<Span> {
+        let mut pause = JOIN_RETRY_PAUSE;
         for peer in peers {
             match catchup::from_peer(&self.node, &self.call, peer).await {
                 Ok(None) => return None,
                 Ok(Some(later)) => pause = later,
-                // Another one may answer.
+                // The next peer may answer.
                 Err(_) => {}
             }
         }
         Some(catchup::jitter(pause))
     }
 
-    /// Pings some peers; returns those that answered, the newest first.
+    /// Pings some seeds and neighbours; returns those that answered with their
+    /// versions, the newest first.
     async fn newest_sources(&self) -> Vec<(Version, SocketAddr)> {
         let mut peers = self.node.settings.seeds.clone();
         peers.retain(|peer| *peer != self.node.peers);
         fastrand::shuffle(&mut peers);
-        peers.truncate(SOURCES);
-        let first = join_all(peers.iter().map(|peer| self.ping(*peer))).await;
+        peers.truncate(JOIN_PEERS);
+        let seed_news = join_all(peers.iter().map(|peer| self.ping(*peer))).await;
         for peer in &peers {
             if self.sync_with(*peer).await {
                 break;
@@ -178,17 +191,17 @@
         let mut near: Vec<SocketAddr> = self.neighbours().iter().map(|m| m.peers).collect();
         near.retain(|peer| !peers.contains(peer));
         fastrand::shuffle(&mut near);
-        near.truncate(SOURCES);
-        let second = join_all(near.iter().map(|peer| self.ping(*peer))).await;
+        near.truncate(JOIN_PEERS);
+        let near_news = join_all(near.iter().map(|peer| self.ping(*peer))).await;
         let all = peers
             .iter()
             .chain(&near)
-            .zip(first.into_iter().chain(second));
-        let mut found: Vec<_> = all
+            .zip(seed_news.into_iter().chain(near_news));
+        let mut sources: Vec<_> = all
             .filter_map(|(peer, news)| Some((news.ok()?.version, *peer)))
             .collect();
-        found.sort_by(|a, b| b.cmp(a));
-        found
+        sources.sort_by(|a, b| b.cmp(a));
+        sources
     }
 
     fn neighbours(&self) -> Vec<Arc<Member>> {
@@ -196,22 +209,23 @@
         rank::neighbours(&self.node.table.read(), &settings.domain, &settings.node)
     }
 
-    fn partners(&self) -> Vec<Arc<Member>> {
+    fn probe_peers(&self) -> Vec<Arc<Member>> {
         let settings = &self.node.settings;
         rank::partners(&self.node.table.read(), &settings.domain, &settings.node)
     }
 
-    /// One period's work.
-    async fn turn(&mut self) {
-        self.rounds += 1;
-        match self.next_partner() {
+    /// Does the work of one period: probes, pings to other failure domains, expiry and
+    /// table comparison, as far as each is due.
+    async fn run_period(&mut self) {
+        self.periods += 1;
+        match self.next_probe() {
             Some(member) => self.probe(&member).await,
             None => self.ping_seed().await,
         }
-        if self.rounds.is_multiple_of(FAR_EVERY) {
-            self.ping_far().await;
+        if self.periods.is_multiple_of(REMOTE_PING_PERIODS) {
+            self.ping_remote().await;
         }
-        self.bury();
+        self.expire_members();
         let sync_every = self.node.settings.membership.sync_every;
         if self.synced_at.elapsed() >= sync_every.duration() {
             self.synced_at = Instant::now();
@@ -219,15 +233,18 @@
         }
     }
 
-    /// Returns the next partner in this failure domain; each comes once before
-    /// any comes again, in an order drawn anew each time.
-    fn next_partner(&mut self) -> Option<Arc<Member>> {
-        if self.round.is_empty() {
-            let mut names: Vec<id::Node> = self.partners().iter().map(|m| m.node.clone()).collect();
+    /// Returns the next peer of this failure domain to probe.
+    ///
+    /// Each peer is probed once per round, in an order that is shuffled for each round.
+    /// Returns `None` if there are no peers or the next one is no longer present.
+    fn next_probe(&mut self) -> Option<Arc<Member>> {
+        if self.probe_order.is_empty() {
+            let mut names: Vec<id::Node> =
+                self.probe_peers().iter().map(|m| m.node.clone()).collect();
             fastrand::shuffle(&mut names);
-            self.round = names.into();
+            self.probe_order = names.into();
         }
-        let name = self.round.pop_front()?;
+        let name = self.probe_order.pop_front()?;
         let table = self.node.table.read();
         table
             .get(&name)
@@ -235,11 +252,13 @@
             .cloned()
     }
 
+    /// Pings `member`, directly and then through other members; marks it as suspect if
+    /// nobody reaches it, or as gone if it was leaving.
     async fn probe(&mut self, member: &Arc<Member>) {
         if self.ping(member.peers).await.is_ok() {
             return;
         }
-        if self.others_reach(member).await {
+        if self.is_reached_indirectly(member).await {
             return;
         }
         let held = self.node.table.read().get(&member.node).cloned();
@@ -259,48 +278,50 @@
         }
     }
 
-    async fn others_reach(&self, member: &Arc<Member>) -> bool {
+    /// Returns whether any of a few other members gets an answer from `member`.
+    async fn is_reached_indirectly(&self, member: &Arc<Member>) -> bool {
         let mut helpers = self.neighbours();
         helpers.retain(|helper| helper.node != member.node && helper.status == Status::Alive);
         fastrand::shuffle(&mut helpers);
-        let patience = Span::from_millis(2 * self.node.settings.membership.timeout.as_millis());
-        let ask = |helper: &Arc<Member>| {
-            (self.call)(helper.peers, Frame::PingFor(member.peers), patience)
+        let max_wait = Span::from_millis(2 * self.node.settings.membership.timeout.as_millis());
+        let probe = |helper: &Arc<Member>| {
+            (self.call)(helper.peers, Frame::PingFor(member.peers), max_wait)
         };
-        let answers = join_all(helpers.iter().take(HELPERS).map(ask)).await;
-        answers
+        let replies = join_all(helpers.iter().take(INDIRECT_PROBES).map(probe)).await;
+        replies
             .into_iter()
-            .any(|answer| matches!(answer, Ok(Reply::Reached(true))))
+            .any(|reply| matches!(reply, Ok(Reply::Reached(true))))
     }
 
-    /// Turns suspects that did not refute into members gone, and forgets
-    /// those long gone.
-    fn bury(&mut self) {
+    /// Declares suspects of this failure domain gone if they did not refute in time,
+    /// and removes members that have been gone for long.
+    fn expire_members(&mut self) {
         let domain = &self.node.settings.domain;
-        let in_doubt = |m: &&Arc<Member>| match m.status {
+        let can_expire = |m: &&Arc<Member>| match m.status {
             Status::Suspect => m.domain == *domain,
             Status::Gone => true,
             Status::Alive | Status::Leaving => false,
         };
-        let in_doubt: Vec<Arc<Member>> = self
+        let expiring: Vec<Arc<Member>> = self
             .node
             .table
             .read()
             .iter()
-            .filter(in_doubt)
+            .filter(can_expire)
             .cloned()
             .collect();
-        let before = std::mem::take(&mut self.since);
-        for member in in_doubt {
-            let known = before.get(&member.node);
+        let previous = std::mem::take(&mut self.status_since);
+        for member in expiring {
+            let known = previous.get(&member.node);
             let known = known.filter(|(status, _)| *status == member.status);
-            let at = known.map_or_else(Instant::now, |(_, at)| *at);
-            self.since.insert(member.node.clone(), (member.status, at));
-            self.bury_one(&member, at.elapsed());
+            let since = known.map_or_else(Instant::now, |(_, since)| *since);
+            self.status_since
+                .insert(member.node.clone(), (member.status, since));
+            self.expire_member(&member, since.elapsed());
         }
     }
 
-    fn bury_one(&self, member: &Member, elapsed: Duration) {
+    fn expire_member(&self, member: &Member, elapsed: Duration) {
         let suspect_for = self.node.settings.membership.suspect_for.duration();
         if member.status == Status::Suspect && elapsed >= suspect_for {
             let status = Status::Gone;
@@ -308,11 +329,13 @@
                 status,
                 ..member.clone()
             }]);
-        } else if member.status == Status::Gone && elapsed >= REMEMBER.duration() {
+        } else if member.status == Status::Gone && elapsed >= GONE_RETENTION.duration() {
             self.node.table.write().forget(&member.node);
         }
     }
 
+    /// Pings a random seed, because there was no peer to probe; fetches its member table
+    /// if this node knows no other member.
     async fn ping_seed(&self) {
         let seeds = &self.node.settings.seeds;
         let Some(seed) = fastrand::choice(seeds).filter(|seed| **seed != self.node.peers) else {
@@ -323,46 +346,47 @@
         }
     }
 
-    /// Pings a member of another failure domain. Its silence means nothing:
-    /// the domains may be cut off from each other.
-    async fn ping_far(&self) {
-        if let Some(peer) = self.far() {
-            // An error is no news here.
+    /// Pings a member of another failure domain, if one is known.
+    async fn ping_remote(&self) {
+        if let Some(peer) = self.remote_peer() {
+            // No answer is no reason to suspect the member: the two failure domains may
+            // be partitioned.
             let _ = self.ping(peer).await;
         }
     }
 
-    fn far(&self) -> Option<SocketAddr> {
+    fn remote_peer(&self) -> Option<SocketAddr> {
         let settings = &self.node.settings;
-        let far = rank::far_partners(&self.node.table.read(), &settings.domain, &settings.node);
-        fastrand::choice(far).map(|member| member.peers)
+        let remote = rank::far_partners(&self.node.table.read(), &settings.domain, &settings.node);
+        fastrand::choice(remote).map(|member| member.peers)
     }
 
+    /// Compares member tables with a random peer, most often one of this failure domain.
     async fn sync(&self) {
-        let far = fastrand::u64(0..FAR_EVERY) == 0;
-        let near = || fastrand::choice(self.partners()).map(|member| member.peers);
-        let peer = if far {
-            self.far().or_else(near)
+        let is_remote = fastrand::u64(0..REMOTE_PING_PERIODS) == 0;
+        let near = || fastrand::choice(self.probe_peers()).map(|member| member.peers);
+        let peer = if is_remote {
+            self.remote_peer().or_else(near)
         } else {
-            near().or_else(|| self.far())
+            near().or_else(|| self.remote_peer())
         };
         if let Some(peer) = peer {
             self.sync_with(peer).await;
         }
     }
 
-    /// Compares the whole table with that of `peer`, both ways; returns
-    /// whether it came about.
+    /// Compares the whole member table with that of `peer` and exchanges the differences
+    /// in both directions; returns whether `peer` answered.
     async fn sync_with(&self, peer: SocketAddr) -> bool {
         let mine = self.node.table.read().marks().to_vec();
-        let patience = Span::from_secs(2);
-        let reply = (self.call)(peer, Frame::Sync(mine), patience).await;
+        let max_wait = Span::from_secs(2);
+        let reply = (self.call)(peer, Frame::Sync(mine), max_wait).await;
         let Ok(Reply::Members { marks, members }) = reply else {
             return false;
         };
         let lacking: Vec<Member> = {
             let table = self.node.table.read();
-            let known = |m: &Member| {
+            let is_known = |m: &Member| {
                 members
                     .iter()
                     .any(|other| other.node == m.node && other.stamp() >= m.stamp())
@@ -370,14 +394,14 @@
             table
                 .differing(&marks)
                 .into_iter()
-                .filter(|m| !known(m))
+                .filter(|m| !is_known(m))
                 .map(|m| m.as_ref().clone())
                 .collect()
         };
         self.node.absorb(members);
         if !lacking.is_empty() {
-            // If it gets lost, the next comparison finds it again.
-            let _ = (self.call)(peer, Frame::Tell(lacking), patience).await;
+            // If the message is lost, the next comparison finds the same differences.
+            let _ = (self.call)(peer, Frame::Tell(lacking), max_wait).await;
         }
         true
     }
@@ -387,68 +411,79 @@
     }
 }
 
-/// Pings `peer` and takes in its news; catches up if it is ahead.
+/// Pings `peer`, applies the news in its reply and returns them; catches up in the
+/// background if `peer` is ahead.
 ///
 /// # Errors
 ///
-/// If it does not answer as a peer.
+/// If `peer` does not answer, or not with a [`Reply::Pong`].
 pub async fn ping(node: &Arc<Node>, call: &Call, peer: SocketAddr) -> Result<News, Error> {
     let timeout = node.settings.membership.timeout;
     let reply = call(peer, Frame::Ping(news(node)), timeout).await?;
     let Reply::Pong(news) = reply else {
         return Err(Error::Unexpected(peer.to_string()));
     };
-    hear(node, call, news.clone());
+    apply_news(node, call, news.clone());
     Ok(news)
 }
 
-/// Returns what this node has to say.
+/// Returns this node's version and its next member updates, for a ping or the reply to
+/// one.
 pub fn news(node: &Arc<Node>) -> News {
     let members = node.table.read().len();
     News {
         node: node.settings.node.clone(),
         peers: node.peers,
         version: node.version(),
-        members: node.rumors.lock().take(members),
+        members: node.updates.lock().take(members),
     }
 }
 
-/// Takes in what another node said; catches up in the background if it is
-/// ahead.
-pub fn hear(node: &Arc<Node>, call: &Call, news: News) {
+/// Merges the member updates in a peer's news; catches up in the background if the peer
+/// is ahead.
+pub fn apply_news(node: &Arc<Node>, call: &Call, news: News) {
     node.absorb(news.members);
     let held = node.version();
     if news.version == held {
-        node.touch();
+        node.mark_current();
     }
     if news.version > held && node.view.load().is_some() {
-        tokio::spawn(pull(node.clone(), call.clone(), news.peers, news.version));
+        tokio::spawn(fetch_later(
+            node.clone(),
+            call.clone(),
+            news.peers,
+            news.version,
+        ));
     }
 }
 
-async fn pull(node: Arc<Node>, call: Call, peer: SocketAddr, version: Version) {
-    tokio::time::sleep(catchup::jitter(GRACE).duration()).await;
+async fn fetch_later(node: Arc<Node>, call: Call, peer: SocketAddr, version: Version) {
+    tokio::time::sleep(catchup::jitter(FETCH_DELAY).duration()).await;
     if node.version() < version {
-        // A failure is found again at the next ping.
+        // If this fails, the next ping finds the peer ahead and fetches again.
         let _ = catchup::from_peer(&node, &call, peer).await;
     }
 }
 
-/// Answers a ping: with news, and with what is held about the sender if it
-/// should hear that others take it for silent.
+/// Returns the reply to a ping.
+///
+/// If this node holds the sender as suspect or gone, the reply includes that record, so
+/// that the sender can refute it.
 pub fn answer(node: &Arc<Node>, call: &Call, from: News) -> Reply {
     let sender = from.node.clone();
-    hear(node, call, from);
+    apply_news(node, call, from);
     let mut news = news(node);
     let held = node.table.read().get(&sender).cloned();
-    let doubted = held.filter(|member| matches!(member.status, Status::Suspect | Status::Gone));
+    let suspected = held.filter(|member| matches!(member.status, Status::Suspect | Status::Gone));
     news.members
-        .extend(doubted.map(|member| member.as_ref().clone()));
+        .extend(suspected.map(|member| member.as_ref().clone()));
     Reply::Pong(news)
 }
 
-/// Tells some members at once what this node says about itself, because
-/// waiting for the next ping would send it work it no longer wants.
+/// Sends this node's own record to `count` random members at once.
+///
+/// If it waited for the next ping, the node would still be sent work that it no longer
+/// accepts.
 pub async fn tell_at_once(node: &Arc<Node>, call: &Call, count: usize) {
     let me = node.me();
     let mut peers: Vec<SocketAddr> = {
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -1,4 +1,4 @@
-//! What all duties of one daemon share.
+//! State shared by the background tasks and the request path of one daemon.
 
 use std::{
     net::SocketAddr,
@@ -14,7 +14,7 @@
 use tokio::sync::Semaphore;
 
 use crate::{
-    coordination::{apply::Applier, door::Doors, gossip::Rumors},
+    coordination::{apply::Applier, door::Doors, gossip::UpdateQueue},
     event::{Event, Journal},
     id::Incarnation,
     metrics::Metrics,
@@ -28,67 +28,71 @@
     unit::Span,
 };
 
-/// Members in one message that are told on to others whatever else is known.
-const TOLD_ON: usize = 16;
+/// New records from a message with at most this many member records are always
+/// relayed.
+const ALWAYS_RELAYED: usize = 16;
 
-/// Large replies (snapshots, whole tables) that are under way at a time. A
-/// failure domain that comes back at once asks for hundreds; they take turns,
-/// or the memory for them would be many times what a node may use.
+/// Maximum number of large replies (snapshots, whole tables) sent concurrently.
+/// When a whole failure domain restarts, its nodes request hundreds at once.
+/// Without this limit the replies would take many times the memory that a node
+/// may use.
 const LARGE_REPLIES: usize = 8;
 
-/// One daemon, as its duties and its request path see it.
+/// State of one daemon.
 pub struct Node {
     /// The settings.
     pub settings: Settings,
-    /// Where peers reach it for control.
+    /// Address at which peers reach this node's control listener.
     pub peers: SocketAddr,
-    /// Log lines.
+    /// Writer of log lines.
     pub journal: Journal,
-    /// Counters.
+    /// Metrics of this node.
     pub metrics: Metrics,
-    /// The view in force; none until it is complete.
+    /// The view in force; `None` until the node holds a complete one.
     pub view: ArcSwapOption<View>,
-    /// All members known.
+    /// All known members, including this node.
     pub table: RwLock<Table>,
-    /// Members that are news to others.
-    pub rumors: Mutex<Rumors>,
-    /// The doors to the targets on this host.
+    /// Member records that still have to be sent to peers.
+    pub updates: Mutex<UpdateQueue>,
+    /// Admission to the targets on this host.
     pub doors: Doors,
-    /// The duty that applies records.
+    /// Handle to the thread that applies records.
     pub applier: Applier,
-    /// What keeps the node from following the log.
-    pub trouble: Mutex<Option<Trouble>>,
-    /// Leave to send a large reply to a peer.
+    /// The fault that keeps this node from following the log, if any.
+    pub log_fault: Mutex<Option<LogFault>>,
+    /// Permits for large replies to peers.
     pub large_replies: Arc<Semaphore>,
-    /// Set when the daemon takes no new work.
+    /// Set once the daemon accepts no new work.
     pub stopping: AtomicBool,
-    /// Set once peers were asked for a view, so that the log may be read.
+    /// Set once peers have been asked for a view; the log may be read only then.
     pub joined: AtomicBool,
-    /// The newest version that a reader spread to this node.
-    pub heard: Mutex<Version>,
+    /// The newest version whose records a log reader has scattered to this node.
+    pub newest_received: Mutex<Version>,
     me: Mutex<Member>,
-    started: Instant,
-    current_at: AtomicU64,
+    started_at: Instant,
+    /// Uptime in milliseconds at which the view was last known to be the newest.
+    current_at_ms: AtomicU64,
 }
 
-/// What keeps a node from following the log.
+/// A fault that keeps a node from following the log.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
-pub enum Trouble {
-    /// It does not answer, or not as it should.
+pub enum LogFault {
+    /// Reading the log failed; holds the error message.
     #[error("{0}")]
     LogDown(String),
-    /// It lost its end, or is another log.
+    /// The log ends before the version in force: its last records were lost, or it
+    /// is a different log.
     #[error("the log ends at {next} but {held} is in force; see `rilltrack recover`")]
     LogWentBack {
-        /// The version in force when it was found.
+        /// The version in force when the fault was detected.
         held: Version,
-        /// Where the log ends.
+        /// The offset at which the log ends.
         next: u64,
     },
 }
 
 impl Node {
-    /// Returns a node that knows only itself.
+    /// Returns a node whose member table holds only itself.
     pub fn new(settings: Settings, me: Member, journal: Journal, applier: Applier) -> Self {
         let mut table = Table::default();
         table.merge(me.clone());
@@ -98,22 +102,22 @@
             metrics: Metrics::new(),
             view: ArcSwapOption::empty(),
             table: RwLock::new(table),
-            rumors: Mutex::new(Rumors::new(&me)),
+            updates: Mutex::new(UpdateQueue::new(&me)),
             doors: Doors::default(),
             applier,
-            trouble: Mutex::new(None),
+            log_fault: Mutex::new(None),
             large_replies: Arc::new(Semaphore::new(LARGE_REPLIES)),
             stopping: AtomicBool::new(false),
             joined: AtomicBool::new(false),
-            heard: Mutex::new(Version::default()),
+            newest_received: Mutex::new(Version::default()),
             me: Mutex::new(me),
-            started: Instant::now(),
-            current_at: AtomicU64::new(0),
+            started_at: Instant::now(),
+            current_at_ms: AtomicU64::new(0),
             settings,
         }
     }
 
-    /// Returns the version in force, or the empty one before there is any.
+    /// Returns the version in force, or the empty version if no view is in force yet.
     pub fn version(&self) -> Version {
         self.view
             .load()
@@ -122,61 +126,63 @@
             .unwrap_or_default()
     }
 
-    /// Returns the view in force, for a request that needs one.
+    /// Returns the view in force.
     ///
     /// # Errors
     ///
-    /// The refusal, before there is any; the request has not run.
+    /// If no view is in force yet: a refusal stating that the request has not run.
     pub fn require_view(&self) -> Result<Arc<View>, Refusal> {
         let refuse = || Refusal::not_run("no complete view yet", Span::from_secs(1));
         self.view.load_full().ok_or_else(refuse)
     }
 
-    /// Returns whether the node holds a complete view.
+    /// Returns whether the node holds a complete view and is not stopping.
     pub fn is_ready(&self) -> bool {
         self.view.load().is_some() && !self.is_stopping()
     }
 
-    /// Returns whether the daemon takes no new work.
+    /// Returns whether the daemon has stopped accepting new work.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Returns milliseconds since this life began. Never steps.
+    /// Returns the milliseconds since this incarnation started, by a monotonic clock.
     pub fn uptime_ms(&self) -> u64 {
-        self.started.elapsed().as_millis() as u64
+        self.started_at.elapsed().as_millis() as u64
     }
 
-    /// Notes that the view in force was just seen to be the newest.
-    pub fn touch(&self) {
-        self.current_at.store(self.uptime_ms(), Ordering::Relaxed);
+    /// Records that the view in force is the newest as of now.
+    pub fn mark_current(&self) {
+        self.current_at_ms
+            .store(self.uptime_ms(), Ordering::Relaxed);
     }
 
-    /// Returns milliseconds since the view was last seen to be the newest.
+    /// Returns the milliseconds since the view was last known to be the newest.
     pub fn age_ms(&self) -> u64 {
-        self.uptime_ms() - self.current_at.load(Ordering::Relaxed)
+        self.uptime_ms() - self.current_at_ms.load(Ordering::Relaxed)
     }
 
-    /// Returns what this node says about itself.
+    /// Returns this node's own member record.
     pub fn me(&self) -> Member {
         self.me.lock().clone()
     }
 
-    /// Returns this life of the process.
+    /// Returns the incarnation of this process.
     pub fn incarnation(&self) -> Incarnation {
         self.me.lock().incarnation
     }
 
-    /// Changes what this node says about itself, and spreads it.
+    /// Applies `change` to this node's own member record and queues it for peers.
     pub fn update(&self, change: impl FnOnce(&mut Member)) {
         let mut me = self.me.lock();
         change(&mut me);
         me.sequence += 1;
         self.table.write().merge(me.clone());
-        self.rumors.lock().add(me.clone());
+        self.updates.lock().add(me.clone());
     }
 
-    /// Makes what this node says about itself newer than `claim`.
+    /// Makes this node's own member record newer than `claim`, a record about this
+    /// node that came from a peer.
     pub fn refute(&self, claim: &Member) {
         self.update(|me| {
             if claim.incarnation > me.incarnation {
@@ -188,7 +194,8 @@
         self.journal.write(Event::Refuted, details);
     }
 
-    /// Says that this node is leaving.
+    /// Stops accepting new work and announces that this node is leaving and its
+    /// targets are draining.
     pub fn leave(&self) {
         self.stopping.store(true, Ordering::Relaxed);
         self.update(|me| {
@@ -199,7 +206,7 @@
         });
     }
 
-    /// Replaces the targets on this host; returns whether that was news.
+    /// Replaces the targets on this host; returns whether they changed.
     pub fn set_targets(&self, targets: Vec<Target>) -> bool {
         if self.me.lock().targets == targets {
             return false;
@@ -214,28 +221,29 @@
         true
     }
 
-    /// Takes in what another node said about members; returns how much of it
-    /// was news here.
+    /// Merges member records from a peer into the table; returns how many of them
+    /// were new or newer.
     ///
-    /// News is told on, unless it is a whole table that comes to a node which
-    /// knew little: the others know it, and telling it all on would keep every
-    /// node busy for minutes after each join.
+    /// Those are relayed to other peers, unless the message is a whole table that
+    /// reaches a node with few known members. The other nodes know those records
+    /// already, and relaying them would keep every node busy for minutes after each
+    /// join.
     pub fn absorb(&self, members: Vec<Member>) -> usize {
         let known = self.table.read().len();
-        let told_on = members.len() <= TOLD_ON || members.len() * 2 <= known;
-        let mut news = 0;
+        let is_relayed = members.len() <= ALWAYS_RELAYED || members.len() * 2 <= known;
+        let mut updated = 0;
         for member in members {
-            news += usize::from(self.absorb_one(member, told_on));
+            updated += usize::from(self.merge_member(member, is_relayed));
         }
         self.metrics.members.set(self.table.read().len() as i64);
-        news
+        updated
     }
 
-    fn absorb_one(&self, member: Member, told_on: bool) -> bool {
+    fn merge_member(&self, member: Member, is_relayed: bool) -> bool {
         if member.node == self.settings.node {
-            // Only this node speaks for itself. A claim that is newer is of a
-            // doubt about this life, or of an earlier one if the clock was set
-            // back between the two.
+            // Only this node decides about its own record. A newer record from a
+            // peer is either a suspicion of this incarnation or, if the clock was
+            // set back in between, a record of an earlier incarnation.
             if member.stamp() > self.me.lock().stamp() {
                 self.refute(&member);
             }
@@ -251,32 +259,35 @@
                 format_args!("member={node} domain={domain} status={status:?} was={old:?}");
             self.journal.write(Event::MemberChanged, details);
         }
-        if told_on {
-            self.rumors.lock().add(member);
+        if is_relayed {
+            self.updates.lock().add(member);
         }
         true
     }
 
-    /// Says what keeps the node from following the log; returns whether that
-    /// is a change.
-    pub fn set_trouble(&self, trouble: Option<Trouble>) -> bool {
-        let mut held = self.trouble.lock();
-        let changed = held.is_some() != trouble.is_some();
-        *held = trouble;
-        changed
+    /// Sets or clears the fault that keeps this node from following the log.
+    ///
+    /// Returns whether a fault appeared or disappeared; replacing one fault by
+    /// another returns false.
+    pub fn set_log_fault(&self, fault: Option<LogFault>) -> bool {
+        let mut held = self.log_fault.lock();
+        let has_changed = held.is_some() != fault.is_some();
+        *held = fault;
+        has_changed
     }
 
-    /// Returns what keeps the node from following the log, unless the mesh
-    /// has moved on since.
-    pub fn trouble(&self) -> Option<Trouble> {
-        let trouble = self.trouble.lock().clone();
-        trouble.filter(|trouble| match trouble {
-            Trouble::LogDown(_) => true,
-            Trouble::LogWentBack { held, .. } => held.epoch == self.version().epoch,
+    /// Returns the fault that keeps this node from following the log.
+    ///
+    /// A [`LogFault::LogWentBack`] is no longer returned once a new epoch has begun.
+    pub fn trouble(&self) -> Option<LogFault> {
+        let fault = self.log_fault.lock().clone();
+        fault.filter(|fault| match fault {
+            LogFault::LogDown(_) => true,
+            LogFault::LogWentBack { held, .. } => held.epoch == self.version().epoch,
         })
     }
 
-    /// Returns a handle that several duties can hold.
+    /// Wraps the node in an `Arc`, so that several tasks can share it.
     pub fn shared(self) -> Arc<Self> {
         Arc::new(self)
     }
--- a/src/coordination/publish.rs
+++ b/src/coordination/publish.rs
@@ -1,4 +1,4 @@
-//! Publishing a change through any node.
+//! Publishes changes through any node, and recovers from a log that lost records.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,7 +8,7 @@
     coordination::{
         Error,
         link::Log,
-        node::{Node, Trouble},
+        node::{LogFault, Node},
         snapshot,
     },
     protocol::operator::Published,
@@ -21,17 +21,17 @@
     unit::Span,
 };
 
-/// How long to wait for the record to come back from the log.
-const DECISION: Span = Span::from_secs(10);
+/// Maximum wait for an appended record to be read back from the log and applied.
+const DECISION_TIMEOUT: Span = Span::from_secs(10);
 
-/// Publishes `change` and returns what became of it.
+/// Publishes `change` and returns the outcome.
 ///
 /// # Errors
 ///
 /// Only if the daemon is ending.
 pub async fn publish(node: &Arc<Node>, log: &Log, change: Change) -> Result<Published, Error> {
-    if let Some(refused) = refuse(node, log, &change).await? {
-        return Ok(refused);
+    if let Some(result) = decide_early(node, log, &change).await? {
+        return Ok(result);
     }
     let id = change.id.clone();
     let record = Entry::Change(change).encode();
@@ -42,47 +42,53 @@
         )));
     }
     let stream = node.settings.log.config_stream.clone();
-    // Taken before the append: the record may be in force before its answer.
+    // Loaded before the append: the record may be in force before the append returns.
     let held = node.version();
     node.metrics.log_appends.inc();
     match (log.append)(stream, record).await {
-        // Nobody reads there again: a recovery begins behind it.
+        // No node will read a record at this offset: a recovery continues after it.
         Ok(next) if next < held.offset => {
-            let trouble = Trouble::LogWentBack { held, next };
-            Ok(Published::NotAccepted(trouble.to_string()))
+            let fault = LogFault::LogWentBack { held, next };
+            Ok(Published::NotAccepted(fault.to_string()))
         }
         Ok(offset) => {
             let version = held.after(offset);
-            decided(node, &id, Some(version), DECISION).await
+            wait_for_decision(node, &id, Some(version), DECISION_TIMEOUT).await
         }
         Err(Error::Unreachable(what)) => {
             Ok(Published::NotAccepted(format!("{what} can't be reached")))
         }
-        // The answer may be lost after the record was taken: see whether it
-        // comes by.
-        Err(_) => decided(node, &id, None, Span::from_secs(3)).await,
+        // The log may have appended the record although its reply was lost: wait for the
+        // record to be read.
+        Err(_) => wait_for_decision(node, &id, None, Span::from_secs(3)).await,
     }
 }
 
-/// Returns the final word on a change that need not go to the log.
-async fn refuse(node: &Arc<Node>, log: &Log, change: &Change) -> Result<Option<Published>, Error> {
+/// Returns the result of a change that need not be appended to the log: one that was
+/// decided before, is invalid, or can't be accepted now.
+async fn decide_early(
+    node: &Arc<Node>,
+    log: &Log,
+    change: &Change,
+) -> Result<Option<Published>, Error> {
     if node.view.load().is_none() {
         return Ok(Some(Published::NotAccepted(
             "this node holds no complete view yet".into(),
         )));
     }
-    if let Some(trouble @ Trouble::LogWentBack { .. }) = node.trouble() {
-        return Ok(Some(Published::NotAccepted(trouble.to_string())));
+    if let Some(fault @ LogFault::LogWentBack { .. }) = node.trouble() {
+        return Ok(Some(Published::NotAccepted(fault.to_string())));
     }
     let id = change.id.clone();
-    if let Some(first) = node.applier.look(move |m| m.outcome(&id).cloned()).await? {
-        return Ok(Some(Published::Decided(first)));
+    if let Some(outcome) = node.applier.look(move |m| m.outcome(&id).cloned()).await? {
+        return Ok(Some(Published::Decided(outcome)));
     }
     let mut problems = check(node, change).await?;
     if !problems.is_empty() {
-        // What the change needs may have been published through another node a moment ago.
-        if let Err(lag) = catch_up(node, log).await? {
-            return Ok(Some(Published::NotAccepted(lag)));
+        // The resources that the change refers to may just have been published through
+        // another node.
+        if let Err(reason) = catch_up(node, log).await? {
+            return Ok(Some(Published::NotAccepted(reason)));
         }
         problems = check(node, change).await?;
     }
@@ -90,7 +96,8 @@
     Ok(refused)
 }
 
-/// Waits until this node has applied what the log holds now; returns why it could not.
+/// Waits until this node has applied all records that the log holds now; the inner error
+/// is the reason why it could not.
 ///
 /// # Errors
 ///
@@ -109,13 +116,13 @@
             )));
         }
     };
-    match timeout(DECISION.duration(), node.applier.reached(end)).await {
+    match timeout(DECISION_TIMEOUT.duration(), node.applier.reached(end)).await {
         Ok(reached) => reached.map(Ok),
         Err(_) => Ok(Err("this node lags behind the log".into())),
     }
 }
 
-/// Returns what is wrong with `change` as things stand.
+/// Returns the problems of `change` against the current resources; empty if it is valid.
 ///
 /// # Errors
 ///
@@ -132,12 +139,13 @@
     node.applier.look(check).await
 }
 
-/// Waits for the decision on change `id`, which is at `version` if known.
-async fn decided(
+/// Waits up to `max_wait` for the outcome of change `id`, whose record leads to `version`
+/// if that is known.
+async fn wait_for_decision(
     node: &Arc<Node>,
     id: &crate::id::Change,
     version: Option<Version>,
-    patience: Span,
+    max_wait: Span,
 ) -> Result<Published, Error> {
     let wait = async {
         if let Some(version) = version {
@@ -151,7 +159,7 @@
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     };
-    match timeout(patience.duration(), wait).await {
+    match timeout(max_wait.duration(), wait).await {
         Ok(outcome) => Ok(Published::Decided(outcome?)),
         Err(_) => Ok(Published::Unknown(
             "the log took it or not; publish the same change again".into(),
@@ -159,11 +167,12 @@
     }
 }
 
-/// Begins a new epoch with the state held here, after the log lost its end.
+/// Begins a new epoch with the state of this node, after the log lost its last records;
+/// returns the first version of the epoch.
 ///
 /// # Errors
 ///
-/// If nothing is held or the log does not take the record.
+/// If the log can't append the record, or the daemon is ending.
 pub async fn recover(node: &Arc<Node>, log: &Log, author: String) -> Result<Version, Error> {
     let base: Anchor = node.applier.look(|machine| machine.anchor()).await?;
     let restore = Restore {
@@ -180,24 +189,25 @@
     })
 }
 
-/// Returns the resources as they were at `version`, from the log.
+/// Returns the resources as they were at `version`, rebuilt from the log.
 ///
 /// # Errors
 ///
-/// If the log no longer keeps what leads there.
+/// If the log no longer holds the records up to `version`, or if `version` is newer than
+/// this node's state or of another epoch.
 pub async fn state_at(
     node: &Arc<Node>,
     log: &Log,
     version: Version,
 ) -> Result<(Anchor, Arc<Set>), Error> {
-    let gone = || {
+    let expired = || {
         Error::Unexpected(format!(
-            "{version}: the log, which no longer keeps what leads there,"
+            "the log: it no longer holds the records up to version {version}"
         ))
     };
     let held = node.applier.look(|machine| machine.version()).await?;
     if version.epoch != held.epoch || version > held {
-        return Err(gone());
+        return Err(expired());
     }
     let stream = node.settings.log.config_stream.clone();
     let mut machine = match snapshot::read_until(node, log, version).await? {
@@ -208,7 +218,7 @@
         let from = machine.version().offset;
         let batch = (log.read)(stream.clone(), from, Span::default()).await?;
         if batch.first > from || batch.records.is_empty() {
-            return Err(gone());
+            return Err(expired());
         }
         for record in batch.records {
             if machine.version() < version {
