--- a/src/coordination/admit.rs
+++ b/src/coordination/admit.rs
@@ -1,9 +1,9 @@
-//! What a target is given to do, and what waits or is refused.
+//! Admission of requests to one target: which run, wait or are rejected.
 //!
-//! The gate is a plain state machine without clock or locks: the caller hands
-//! it the time, and it says what to do. Requests that can't be started before
-//! their deadline are refused when they come, not when it is too late: the
-//! caller is told at once, and when to come back.
+//! [`Limiter`] is a state machine without a clock or locks: the caller passes in
+//! the time and carries out what it returns. A request that cannot start before
+//! its deadline is rejected on arrival rather than when the deadline passes, so
+//! that its sender learns early of the rejection and of when to retry.
 
 use std::{
     collections::VecDeque,
@@ -12,31 +12,33 @@
 
 use crate::{state::resource::Class, unit::Span};
 
-/// The weight of the newest request in the mean service time.
-const NEWEST: f64 = 0.1;
+/// The weight of the newest run time in the moving average of run times.
+const NEWEST_WEIGHT: f64 = 0.1;
 
-/// Every so many grants it is the turn of bulk or normal requests, alternately,
-/// so that they are never starved.
-const FAIR_EVERY: u32 = 8;
+/// Every so many grants, a waiting bulk or normal request goes first instead of
+/// a critical one. The two classes alternate, so neither is starved.
+const FAIR_GRANT_INTERVAL: u32 = 8;
 
 /// The number of classes.
-const CLASSES: usize = 3;
+const CLASS_COUNT: usize = 3;
 
-/// A waiting request.
+/// Identifies a waiting request.
 pub type Ticket = u64;
 
-/// The gate before one target.
+/// A concurrency limiter with a bounded queue, for one target.
 #[derive(Debug)]
-pub struct Gate {
+pub struct Limiter {
     slots: u32,
     queue: u32,
-    running: [u32; CLASSES],
-    waiting: [VecDeque<Waiter>; CLASSES],
-    next: Ticket,
-    /// Requests started since the last turn, while others waited.
-    since_turn: u32,
-    bulk_turn: bool,
-    mean: f64,
+    running: [u32; CLASS_COUNT],
+    waiting: [VecDeque<Waiter>; CLASS_COUNT],
+    next_ticket: Ticket,
+    /// Waiting requests started since the last fair grant.
+    grants_since_fair: u32,
+    /// Whether bulk goes before normal at the next fair grant.
+    is_bulk_next: bool,
+    /// The moving average of run times, in seconds; 0 before the first run ends.
+    mean_run_secs: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -45,91 +47,92 @@
     deadline: Instant,
 }
 
-/// What becomes of a request that comes.
+/// The decision on a request that arrives.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Arrival {
-    /// It runs now.
-    Run,
-    /// It waits; the evicted one, if any, is refused in its favour.
-    Wait {
-        /// Names it until it is granted.
+pub enum Admission {
+    /// The request runs now.
+    Admitted,
+    /// The request waits for a slot.
+    Queued {
+        /// Identifies the request while it waits.
         ticket: Ticket,
-        /// A request of a lower class that gives up its place.
+        /// A waiting request of a lower class that lost its place to this one and
+        /// is to be rejected.
         evicted: Option<Ticket>,
     },
-    /// It is refused; worth trying again after the span.
-    Refuse(Span),
+    /// The request is rejected and may be retried after the span.
+    Rejected(Span),
 }
 
-impl Gate {
-    /// Returns a gate for a target with `slots`, before which `queue` may
-    /// wait.
+impl Limiter {
+    /// Returns a limiter for a target with `slots` concurrent requests, for which
+    /// `queue` more may wait.
     pub fn new(slots: u32, queue: u32) -> Self {
         Self {
             slots: slots.max(1),
             queue,
-            running: [0; CLASSES],
+            running: [0; CLASS_COUNT],
             waiting: Default::default(),
-            next: 0,
-            since_turn: 0,
-            bulk_turn: true,
-            mean: 0.0,
+            next_ticket: 0,
+            grants_since_fair: 0,
+            is_bulk_next: true,
+            mean_run_secs: 0.0,
         }
     }
 
-    /// Takes new limits; what runs and waits goes on.
+    /// Sets new limits. Requests that already run or wait are not affected.
     pub fn resize(&mut self, slots: u32, queue: u32) {
         self.slots = slots.max(1);
         self.queue = queue;
     }
 
-    /// Decides on a request that comes at `now`.
-    pub fn arrive(&mut self, class: Class, deadline: Instant, now: Instant) -> Arrival {
-        // Nothing waits beside a free slot.
+    /// Decides on a request that arrives at `now`.
+    pub fn admit(&mut self, class: Class, deadline: Instant, now: Instant) -> Admission {
+        // A free slot is used at once.
         if self.has_slot() {
             self.running[class as usize] += 1;
-            return Arrival::Run;
+            return Admission::Admitted;
         }
         let wait = self.expected_wait(class);
         if now + wait >= deadline {
-            return Arrival::Refuse(retry_after(wait));
+            return Admission::Rejected(retry_after(wait));
         }
         let mut evicted = None;
         if !self.has_place(class) {
             evicted = self.evict_below(class);
             if evicted.is_none() {
-                return Arrival::Refuse(retry_after(wait));
+                return Admission::Rejected(retry_after(wait));
             }
         }
-        let ticket = self.next;
-        self.next += 1;
+        let ticket = self.next_ticket;
+        self.next_ticket += 1;
         self.waiting[class as usize].push_back(Waiter { ticket, deadline });
-        Arrival::Wait { ticket, evicted }
+        Admission::Queued { ticket, evicted }
     }
 
-    /// Notes that a running request ended after `took`; returns those that
-    /// now run.
-    pub fn finish(&mut self, class: Class, took: Duration, now: Instant) -> Vec<Ticket> {
+    /// Releases the slot of a request that ran for `run_time`. Returns the waiting
+    /// requests that now run.
+    pub fn release(&mut self, class: Class, run_time: Duration, now: Instant) -> Vec<Ticket> {
         let running = &mut self.running[class as usize];
         *running = running.saturating_sub(1);
-        let seconds = took.as_secs_f64();
-        self.mean = if self.mean == 0.0 {
+        let seconds = run_time.as_secs_f64();
+        self.mean_run_secs = if self.mean_run_secs == 0.0 {
             seconds
         } else {
-            self.mean + NEWEST * (seconds - self.mean)
+            self.mean_run_secs + NEWEST_WEIGHT * (seconds - self.mean_run_secs)
         };
-        self.grant(now)
+        self.admit_next(now)
     }
 
-    /// Starts what may run; returns it.
-    pub fn grant(&mut self, now: Instant) -> Vec<Ticket> {
+    /// Starts waiting requests while slots are free, and returns them.
+    pub fn admit_next(&mut self, now: Instant) -> Vec<Ticket> {
         let mut granted = Vec::new();
         while let Some(class) = self.next_class() {
             let Some(waiter) = self.waiting[class as usize].pop_front() else {
                 break;
             };
             if waiter.deadline <= now {
-                // Its own timer refuses it.
+                // The waiter's own timeout rejects it.
                 continue;
             }
             self.running[class as usize] += 1;
@@ -138,9 +141,8 @@
         granted
     }
 
-    /// Takes a request that gave up out of the queue; returns whether it was
-    /// still there.
-    pub fn give_up(&mut self, ticket: Ticket) -> bool {
+    /// Removes a request from the queue. Returns whether it was still waiting.
+    pub fn cancel(&mut self, ticket: Ticket) -> bool {
         let before = self.waiting_count();
         self.waiting
             .iter_mut()
@@ -148,8 +150,8 @@
         self.waiting_count() < before
     }
 
-    /// Takes all waiting requests out; the target is leaving.
-    pub fn close(&mut self) -> Vec<Ticket> {
+    /// Removes and returns all waiting requests, as when the target is draining.
+    pub fn drain(&mut self) -> Vec<Ticket> {
         self.waiting
             .iter_mut()
             .flat_map(|queue| queue.drain(..))
@@ -157,12 +159,12 @@
             .collect()
     }
 
-    /// Returns requests running and waiting over slots, in hundredths.
+    /// Returns the running and waiting requests as a percentage of the slots.
     pub fn load(&self) -> u32 {
         (self.running_count() + self.waiting_count()) * 100 / self.slots
     }
 
-    /// Returns the number of requests running.
+    /// Returns the number of running requests.
     pub fn running_count(&self) -> u32 {
         self.running.iter().sum()
     }
@@ -171,58 +173,68 @@
         self.waiting.iter().map(|queue| queue.len() as u32).sum()
     }
 
-    /// Returns whether a request of `class` may wait. Beside the queue each class
-    /// has a place of its own: its turn is worth nothing if the others fill the
-    /// queue each time it comes.
+    /// Returns whether a request of `class` may wait.
+    ///
+    /// Each class may have one waiter even if the queue is full. Otherwise a class
+    /// could have no waiter at each of its fair grants, because the other classes
+    /// fill the queue.
     fn has_place(&self, class: Class) -> bool {
-        let own_place = self.queue > 0 && self.waiting[class as usize].is_empty();
-        own_place || self.waiting_count() < self.queue
+        let is_first_of_class = self.queue > 0 && self.waiting[class as usize].is_empty();
+        is_first_of_class || self.waiting_count() < self.queue
     }
 
-    /// Returns whether a slot is free. Any class may take it: class decides who goes
-    /// first, not who stays out. A slot that is kept for one class idles while others
-    /// wait, which near full load was a tenth of what the target could do
+    /// Returns whether a slot is free.
+    ///
+    /// Requests of any class may take it: classes decide the order of waiting
+    /// requests, and none has reserved slots. A slot reserved for one class idles
+    /// while others wait, which near full load cost a tenth of the target's capacity
     /// (docs/CAPACITY.md).
     fn has_slot(&self) -> bool {
         self.running_count() < self.slots
     }
 
-    /// Returns the class whose next waiter starts now.
+    /// Returns the class whose oldest waiter starts next, if a slot is free.
     fn next_class(&mut self) -> Option<Class> {
-        let turn = self.since_turn + 1 >= FAIR_EVERY;
-        let order = match (turn, self.bulk_turn) {
+        let is_fair = self.grants_since_fair + 1 >= FAIR_GRANT_INTERVAL;
+        let order = match (is_fair, self.is_bulk_next) {
             (false, _) => [Class::Critical, Class::Normal, Class::Bulk],
             (true, true) => [Class::Bulk, Class::Normal, Class::Critical],
             (true, false) => [Class::Normal, Class::Bulk, Class::Critical],
         };
-        let mut waits = order
+        let mut waiting = order
             .into_iter()
             .filter(|class| !self.waiting[*class as usize].is_empty());
-        let next = waits.next().filter(|_| self.has_slot())?;
-        self.since_turn = if turn { 0 } else { self.since_turn + 1 };
-        self.bulk_turn ^= turn;
+        let next = waiting.next().filter(|_| self.has_slot())?;
+        self.grants_since_fair = if is_fair {
+            0
+        } else {
+            self.grants_since_fair + 1
+        };
+        self.is_bulk_next ^= is_fair;
         Some(next)
     }
 
-    /// Returns how long a request of `class` that comes now will wait.
+    /// Returns the expected wait of a request of `class` that arrives now. Waiting
+    /// requests of the same class and of higher ones go before it.
     fn expected_wait(&self, class: Class) -> Duration {
         let ahead: usize = self.waiting[..=class as usize]
             .iter()
             .map(VecDeque::len)
             .sum();
-        Duration::from_secs_f64((ahead + 1) as f64 * self.mean / f64::from(self.slots))
+        Duration::from_secs_f64((ahead + 1) as f64 * self.mean_run_secs / f64::from(self.slots))
     }
 
-    /// Takes the newest waiter of the lowest class out, but never the only one:
-    /// the turn that a class gets now and then would find nobody.
+    /// Removes and returns the newest waiter of the lowest class below `class` that
+    /// has more than one. The only waiter of a class stays, for its class's next fair
+    /// grant.
     fn evict_below(&mut self, class: Class) -> Option<Ticket> {
-        let mut below = (class as usize + 1..CLASSES).rev();
+        let mut below = (class as usize + 1..CLASS_COUNT).rev();
         let lower = below.find(|lower| self.waiting[*lower].len() > 1)?;
         self.waiting[lower].pop_back().map(|waiter| waiter.ticket)
     }
 }
 
-/// The shortest span a caller is told to stay away.
+/// The shortest span after which a rejected request may be retried.
 const MIN_RETRY_AFTER: Span = Span::from_millis(1000);
 
 fn retry_after(wait: Duration) -> Span {
--- a/src/coordination/door.rs
+++ b/src/coordination/door.rs
@@ -1,4 +1,7 @@
-//! The gate before a target, for many requests at once.
+//! Concurrency limits of the targets on one host, shared by concurrent requests.
+//!
+//! Each target's [`Limiter`] decides; this module adds the lock, the waiting tasks
+//! and the permits.
 
 use std::{
     collections::HashMap,
@@ -11,7 +14,7 @@
 
 use crate::{
     coordination::{
-        admit::{Arrival, Gate, Ticket},
+        admit::{Admission, Limiter, Ticket},
         decision::runs::Runs,
     },
     id::Name,
@@ -20,61 +23,62 @@
     unit::Span,
 };
 
-/// The reason given when a target is leaving.
+/// The reason of a refusal by a target that is draining.
 pub const LEAVING: &str = "target is leaving";
-/// The reason given when a target has no room.
+/// The reason of a refusal by a target whose slots and queue are full.
 pub const FULL: &str = "target is full";
 
-/// The door to one target.
+/// The concurrency limiter of one target. Clones share their state.
 #[derive(Clone, Debug)]
-pub struct Door {
+pub struct SharedLimiter {
     inner: Arc<Mutex<Inner>>,
 }
 
-/// The doors to all targets on one host.
+/// The concurrency limiters of all targets on one host, by service.
 #[derive(Debug, Default)]
 pub struct Doors {
-    doors: Mutex<HashMap<Name, Door>>,
+    limiters: Mutex<HashMap<Name, SharedLimiter>>,
 }
 
 impl Doors {
-    /// Returns the door to the target of `service`, with the limits of
+    /// Returns the limiter of the target of `service`, set to the limits of
     /// `policy`.
-    pub fn get(&self, service: &Name, policy: &Policy) -> Door {
-        let mut doors = self.doors.lock();
-        let door = doors
+    pub fn get(&self, service: &Name, policy: &Policy) -> SharedLimiter {
+        let mut limiters = self.limiters.lock();
+        let limiter = limiters
             .entry(service.clone())
-            .or_insert_with(|| Door::new(policy));
-        door.resize(policy);
-        door.clone()
+            .or_insert_with(|| SharedLimiter::new(policy));
+        limiter.resize(policy);
+        limiter.clone()
     }
 
-    /// Refuses what waits for the target of `service`.
+    /// Refuses all requests that wait for the target of `service`.
     pub fn close(&self, service: &Name) {
-        let door = self.doors.lock().get(service).cloned();
-        if let Some(door) = door {
-            door.close();
+        let limiter = self.limiters.lock().get(service).cloned();
+        if let Some(limiter) = limiter {
+            limiter.close();
         }
     }
 
-    /// Refuses what waits for any target.
+    /// Refuses all requests that wait for any target.
     pub fn close_all(&self) {
-        self.doors.lock().values().for_each(Door::close);
+        self.limiters.lock().values().for_each(SharedLimiter::close);
     }
 
-    /// Returns the part of the runs under way, at all targets, that are retries.
+    /// Returns the share of repeats, from 0 to 1, among the running requests of all
+    /// targets.
     pub fn repeats(&self) -> f64 {
-        let doors = self.doors.lock();
-        let runs = doors.values().map(|door| door.inner.lock().runs);
+        let limiters = self.limiters.lock();
+        let runs = limiters.values().map(|limiter| limiter.inner.lock().runs);
         runs.fold(Runs::default(), Runs::and).repeats()
     }
 
-    /// Returns the load of the fullest target, in hundredths of its slots.
+    /// Returns the highest load of any target, as a percentage of its slots.
     pub fn load(&self) -> u32 {
-        self.doors
+        self.limiters
             .lock()
             .values()
-            .map(Door::load)
+            .map(SharedLimiter::load)
             .max()
             .unwrap_or(0)
     }
@@ -82,7 +86,7 @@
 
 #[derive(Debug)]
 struct Inner {
-    gate: Gate,
+    limiter: Limiter,
     waiters: HashMap<Ticket, Waiter>,
     runs: Runs,
 }
@@ -93,62 +97,66 @@
     grant: oneshot::Sender<Result<Permit, Refusal>>,
 }
 
-/// The right to run one request; given back when dropped.
+/// The right to run one request in a slot of a target. Dropping it releases the slot.
 #[derive(Debug)]
 pub struct Permit {
-    door: Door,
+    limiter: SharedLimiter,
     class: Class,
     since: Instant,
-    /// Whether the run is a retry, once it has begun.
-    is_again: Option<bool>,
+    /// Whether the request is a repeat; `None` until it is sent to the target.
+    is_repeat: Option<bool>,
 }
 
-/// A place in the queue; given up when dropped, as when the caller goes away.
-struct Place<'a> {
-    door: &'a Door,
+/// A place in the queue. Dropping it cancels the wait, as when the caller disconnects.
+struct QueuePlace<'a> {
+    limiter: &'a SharedLimiter,
     ticket: Ticket,
 }
 
-impl Door {
-    /// Returns a door with the limits of `policy`.
+impl SharedLimiter {
+    /// Returns a limiter with the limits of `policy`.
     pub fn new(policy: &Policy) -> Self {
-        let gate = Gate::new(policy.slots, policy.queue);
+        let limiter = Limiter::new(policy.slots, policy.queue);
         Self {
             inner: Arc::new(Mutex::new(Inner {
-                gate,
+                limiter,
                 waiters: HashMap::new(),
                 runs: Runs::default(),
             })),
         }
     }
 
-    /// Takes the limits of `policy`.
+    /// Sets the limits to those of `policy`.
     pub fn resize(&self, policy: &Policy) {
-        self.inner.lock().gate.resize(policy.slots, policy.queue);
+        self.inner.lock().limiter.resize(policy.slots, policy.queue);
     }
 
-    /// Returns requests running and waiting over slots, in hundredths.
+    /// Returns the running and waiting requests as a percentage of the slots.
     pub fn load(&self) -> u32 {
-        self.inner.lock().gate.load()
+        self.inner.lock().limiter.load()
     }
 
-    /// Returns the number of requests running.
+    /// Returns the number of running requests.
     pub fn running(&self) -> u32 {
-        self.inner.lock().gate.running_count()
+        self.inner.lock().limiter.running_count()
     }
 
-    /// Waits for the right to run a request of `class`.
+    /// Returns a permit to run a request of `class`, once a slot is free.
     ///
     /// # Errors
     ///
-    /// The refusal, if there is no room or none in time. The request has not
-    /// run.
+    /// Returns the refusal if the queue is full, if no slot becomes free or is expected
+    /// to become free before the deadline, or if the target starts draining. The
+    /// request has not run.
     pub async fn enter(&self, class: Class, deadline: Instant) -> Result<Permit, Refusal> {
-        let (ticket, granted) = match self.arrive(class, deadline)? {
-            Entry::Run(permit) => return Ok(permit),
-            Entry::Wait(ticket, granted) => (ticket, granted),
+        let (ticket, granted) = match self.admit(class, deadline)? {
+            Entry::Admitted(permit) => return Ok(permit),
+            Entry::Queued(ticket, granted) => (ticket, granted),
+        };
+        let _place = QueuePlace {
+            limiter: self,
+            ticket,
         };
-        let _place = Place { door: self, ticket };
         match tokio::time::timeout_at(deadline.into(), granted).await {
             Ok(Ok(granted)) => granted,
             _ => Err(Refusal::not_run(
@@ -158,46 +166,46 @@
         }
     }
 
-    fn arrive(&self, class: Class, deadline: Instant) -> Result<Entry, Refusal> {
+    fn admit(&self, class: Class, deadline: Instant) -> Result<Entry, Refusal> {
         let mut inner = self.inner.lock();
-        match inner.gate.arrive(class, deadline, Instant::now()) {
-            Arrival::Run => Ok(Entry::Run(self.permit(class))),
-            Arrival::Refuse(later) => Err(Refusal::not_run(FULL, later)),
-            Arrival::Wait { ticket, evicted } => {
+        match inner.limiter.admit(class, deadline, Instant::now()) {
+            Admission::Admitted => Ok(Entry::Admitted(self.permit(class))),
+            Admission::Rejected(retry_after) => Err(Refusal::not_run(FULL, retry_after)),
+            Admission::Queued { ticket, evicted } => {
                 if let Some(evicted) = evicted {
                     inner.refuse(evicted, FULL);
                 }
                 let (grant, granted) = oneshot::channel();
                 inner.waiters.insert(ticket, Waiter { class, grant });
-                Ok(Entry::Wait(ticket, granted))
+                Ok(Entry::Queued(ticket, granted))
             }
         }
     }
 
-    /// Refuses all that wait: the target is leaving.
+    /// Refuses all waiting requests, because the target is draining.
     pub fn close(&self) {
         let mut inner = self.inner.lock();
-        for ticket in inner.gate.close() {
+        for ticket in inner.limiter.drain() {
             inner.refuse(ticket, LEAVING);
         }
     }
 
     fn permit(&self, class: Class) -> Permit {
         Permit {
-            door: self.clone(),
+            limiter: self.clone(),
             class,
             since: Instant::now(),
-            is_again: None,
+            is_repeat: None,
         }
     }
 
-    /// Hands permits to those that now run. A waiter that has just gone away
-    /// drops its permit, which comes back here, so no slot is lost.
-    fn hand_out(&self, granted: Vec<Ticket>) {
+    /// Sends permits to the waiters of `granted`. If a waiter is already gone, its
+    /// permit is dropped, which releases the slot and grants it to the next waiter.
+    fn send_permits(&self, granted: Vec<Ticket>) {
         for ticket in granted {
             let waiter = self.inner.lock().waiters.remove(&ticket);
             if let Some(Waiter { class, grant }) = waiter {
-                // Unlocked: dropping a refused permit locks again.
+                // The lock is not held here: dropping an undelivered permit takes it.
                 drop(grant.send(Ok(self.permit(class))));
             }
         }
@@ -205,46 +213,47 @@
 }
 
 enum Entry {
-    Run(Permit),
-    Wait(Ticket, oneshot::Receiver<Result<Permit, Refusal>>),
+    Admitted(Permit),
+    Queued(Ticket, oneshot::Receiver<Result<Permit, Refusal>>),
 }
 
 impl Inner {
     fn refuse(&mut self, ticket: Ticket, reason: &str) {
         if let Some(waiter) = self.waiters.remove(&ticket) {
             let refusal = Refusal::not_run(reason, Span::from_secs(1));
-            // A waiter that has gone away needs no answer.
+            // Sending fails if the waiter is gone; it needs no refusal then.
             let _ = waiter.grant.send(Err(refusal));
         }
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for QueuePlace<'_> {
     fn drop(&mut self) {
-        let mut inner = self.door.inner.lock();
-        inner.gate.give_up(self.ticket);
+        let mut inner = self.limiter.inner.lock();
+        inner.limiter.cancel(self.ticket);
         inner.waiters.remove(&self.ticket);
     }
 }
 
 impl Permit {
-    /// Notes that the request goes to the target now, and whether it is a retry.
-    pub fn begin(&mut self, is_again: bool) {
-        self.door.inner.lock().runs.start(is_again);
-        self.is_again = Some(is_again);
+    /// Records that the request is being sent to the target, and whether it is a
+    /// repeat.
+    pub fn begin(&mut self, is_repeat: bool) {
+        self.limiter.inner.lock().runs.start(is_repeat);
+        self.is_repeat = Some(is_repeat);
     }
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        let took: Duration = self.since.elapsed();
+        let run_time: Duration = self.since.elapsed();
         let granted = {
-            let mut inner = self.door.inner.lock();
-            if let Some(is_again) = self.is_again {
-                inner.runs.end(is_again);
+            let mut inner = self.limiter.inner.lock();
+            if let Some(is_repeat) = self.is_repeat {
+                inner.runs.end(is_repeat);
             }
-            inner.gate.finish(self.class, took, Instant::now())
+            inner.limiter.release(self.class, run_time, Instant::now())
         };
-        self.door.hand_out(granted);
+        self.limiter.send_permits(granted);
     }
 }
--- a/tests/coordination.rs
+++ b/tests/coordination.rs
@@ -14,7 +14,7 @@
 use rilltrack::{
     coordination::{
         Error,
-        admit::{Arrival, Gate},
+        admit::{Admission, Limiter},
         apply,
         budget::Budget,
         catchup,
@@ -491,28 +491,28 @@
         let classes = [Class::Critical, Class::Normal, Class::Bulk];
         let (now, took) = (Instant::now(), Duration::from_millis(10));
         let far = now + Duration::from_secs(3600);
-        let mut gate = Gate::new(slots, queue);
+        let mut limiter = Limiter::new(slots, queue);
         let mut running: Vec<Class> = Vec::new();
         let mut waiting: HashMap<u64, Class> = HashMap::new();
         for (step, class) in steps {
             let class = classes[class];
             if step < 2 {
-                match gate.arrive(class, far, now) {
-                    Arrival::Run => running.push(class),
-                    Arrival::Wait { ticket, evicted } => {
+                match limiter.admit(class, far, now) {
+                    Admission::Admitted => running.push(class),
+                    Admission::Queued { ticket, evicted } => {
                         if let Some(evicted) = evicted {
                             let lower = waiting.remove(&evicted).unwrap();
                             prop_assert!(lower > class);
                         }
                         waiting.insert(ticket, class);
                     }
-                    Arrival::Refuse(later) => {
+                    Admission::Rejected(later) => {
                         prop_assert!(waiting.len() as u32 >= queue && later.as_millis() > 0);
                     }
                 }
             } else if !running.is_empty() {
                 let ended = running.remove(0);
-                for ticket in gate.finish(ended, took, now) {
+                for ticket in limiter.release(ended, took, now) {
                     running.push(waiting.remove(&ticket).unwrap());
                 }
             }
@@ -520,13 +520,13 @@
             // A class may have one place beside the queue, and so may another.
             let places = if queue == 0 { 0 } else { queue + 2 };
             prop_assert!(waiting.len() as u32 <= places);
-            prop_assert_eq!(gate.running_count() as usize, running.len());
+            prop_assert_eq!(limiter.running_count() as usize, running.len());
             // No slot idles while something waits.
             prop_assert!(waiting.is_empty() || running.len() as u32 == slots);
         }
         // All that wait get their turn once what runs ends.
         while let Some(ended) = running.pop() {
-            for ticket in gate.finish(ended, took, now) {
+            for ticket in limiter.release(ended, took, now) {
                 running.push(waiting.remove(&ticket).unwrap());
             }
         }
@@ -610,46 +610,46 @@
 cases! {
     late_request_is_refused_when_it_comes => {
         let now = Instant::now();
-        let mut gate = Gate::new(1, 100);
-        assert_eq!(gate.arrive(Class::Normal, now + Duration::from_secs(9), now), Arrival::Run);
-        gate.finish(Class::Normal, Duration::from_secs(1), now);
-        assert_eq!(gate.arrive(Class::Normal, now + Duration::from_secs(9), now), Arrival::Run);
+        let mut limiter = Limiter::new(1, 100);
+        assert_eq!(limiter.admit(Class::Normal, now + Duration::from_secs(9), now), Admission::Admitted);
+        limiter.release(Class::Normal, Duration::from_secs(1), now);
+        assert_eq!(limiter.admit(Class::Normal, now + Duration::from_secs(9), now), Admission::Admitted);
         let soon = now + Duration::from_millis(500);
-        assert!(matches!(gate.arrive(Class::Normal, soon, now), Arrival::Refuse(_)));
-        assert!(matches!(gate.arrive(Class::Normal, now + Duration::from_secs(9), now), Arrival::Wait { .. }));
+        assert!(matches!(limiter.admit(Class::Normal, soon, now), Admission::Rejected(_)));
+        assert!(matches!(limiter.admit(Class::Normal, now + Duration::from_secs(9), now), Admission::Queued { .. }));
     }
 
     critical_request_goes_before_others_that_wait_and_no_slot_is_kept_for_it => {
         let (now, far) = (Instant::now(), Instant::now() + Duration::from_secs(9));
-        let mut gate = Gate::new(4, 10);
-        (0..4).for_each(|_| assert_eq!(gate.arrive(Class::Bulk, far, now), Arrival::Run));
-        assert!(matches!(gate.arrive(Class::Bulk, far, now), Arrival::Wait { .. }));
-        assert!(matches!(gate.arrive(Class::Normal, far, now), Arrival::Wait { .. }));
-        let Arrival::Wait { ticket, .. } = gate.arrive(Class::Critical, far, now) else {
+        let mut limiter = Limiter::new(4, 10);
+        (0..4).for_each(|_| assert_eq!(limiter.admit(Class::Bulk, far, now), Admission::Admitted));
+        assert!(matches!(limiter.admit(Class::Bulk, far, now), Admission::Queued { .. }));
+        assert!(matches!(limiter.admit(Class::Normal, far, now), Admission::Queued { .. }));
+        let Admission::Queued { ticket, .. } = limiter.admit(Class::Critical, far, now) else {
             panic!("it waits")
         };
-        assert_eq!(gate.finish(Class::Bulk, Duration::from_millis(1), now), [ticket]);
+        assert_eq!(limiter.release(Class::Bulk, Duration::from_millis(1), now), [ticket]);
     }
 
     no_class_is_starved_though_critical_requests_flood => {
         let (now, far) = (Instant::now(), Instant::now() + Duration::from_secs(9));
-        let mut gate = Gate::new(4, 8);
+        let mut limiter = Limiter::new(4, 8);
         let (mut running, mut waiting) = (VecDeque::new(), HashMap::new());
         let (mut bulk, mut normal) = (0, 0);
         for _ in 0..1000 {
             for class in [Class::Critical, Class::Normal, Class::Normal, Class::Bulk] {
-                match gate.arrive(class, far, now) {
-                    Arrival::Run => running.push_back(class),
-                    Arrival::Wait { ticket, evicted } => {
+                match limiter.admit(class, far, now) {
+                    Admission::Admitted => running.push_back(class),
+                    Admission::Queued { ticket, evicted } => {
                         evicted.map(|evicted| waiting.remove(&evicted));
                         waiting.insert(ticket, class);
                     }
-                    Arrival::Refuse(_) => {}
+                    Admission::Rejected(_) => {}
                 }
             }
             // One request ends for four that come.
             let ended = running.pop_front().unwrap();
-            for ticket in gate.finish(ended, Duration::from_millis(1), now) {
+            for ticket in limiter.release(ended, Duration::from_millis(1), now) {
                 let class = waiting.remove(&ticket).unwrap();
                 bulk += u32::from(class == Class::Bulk);
                 normal += u32::from(class == Class::Normal);
