--- a/src/coordination/pick.rs
+++ b/src/coordination/pick.rs
@@ -1,54 +1,56 @@
-//! Which target a request goes to.
+//! Choice of the target for a request.
 
 use fastrand::Rng;
 
 use crate::state::view::Distance;
 
-/// Cost, in hundredths of a target's slots, from which another failure
-/// domain is worth its longer way.
-const SPILL: u32 = 90;
+/// The cost, as a percentage of a target's slots, from which requests go to targets
+/// in farther failure domains in spite of the longer round trip.
+const SPILLOVER_COST: u32 = 90;
 
-/// What the choice looks at, for one target that is allowed.
+/// A target that may receive the request, with the figures the choice is based on.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Candidate {
-    /// How far it is.
+    /// The distance of its failure domain.
     pub distance: Distance,
-    /// Requests running and waiting over slots, in hundredths.
+    /// Running and waiting requests as a percentage of the slots, plus the extra cost
+    /// of a target in slow start.
     pub cost: u32,
-    /// Whether it is passed over for now.
+    /// Whether it is ejected, as an outlier or because it is draining.
     pub ejected: bool,
 }
 
 /// Why a target was chosen.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Reason {
-    /// The cheaper of two, at the nearest distance with room.
+    /// The target is the nearest of those drawn that are below the spillover cost.
     Room(Distance),
-    /// No distance has room; the cheapest of those drawn.
+    /// No target that was drawn is below the spillover cost; this is the cheapest.
     Loaded,
-    /// All are ejected; any is better than none.
+    /// All targets are ejected; an ejected target is better than none.
     LastResort,
 }
 
-/// Returns the index of the target to use among `candidates`, and why.
+/// Returns the index of the chosen target in `candidates`, and why it was chosen.
 ///
-/// At each distance two are drawn and the cheaper one counts, which spreads
-/// load well without knowing all of it and without all proxies rushing to one.
-/// The nearest that has room wins.
+/// At each distance, two targets are drawn at random and the cheaper one is considered
+/// (power of two choices). This spreads load well with partial knowledge of it, and
+/// keeps proxies from all choosing the same target at once. The nearest considered
+/// target below the spillover cost is chosen.
 pub fn pick(candidates: &[Candidate], rng: &mut Rng) -> Option<(usize, Reason)> {
     let mut cheapest: Option<usize> = None;
     for distance in [Distance::Domain, Distance::Region, Distance::Beyond] {
-        let fits = |c: &Candidate| c.distance == distance && !c.ejected;
+        let is_eligible = |c: &Candidate| c.distance == distance && !c.ejected;
         let tier: Vec<usize> = (0..candidates.len())
-            .filter(|i| fits(&candidates[*i]))
+            .filter(|i| is_eligible(&candidates[*i]))
             .collect();
         let Some(drawn) = cheaper_of_two(candidates, &tier, rng) else {
             continue;
         };
-        if candidates[drawn].cost < SPILL {
+        if candidates[drawn].cost < SPILLOVER_COST {
             return Some((drawn, Reason::Room(distance)));
         }
-        if cheapest.is_none_or(|held| candidates[drawn].cost < candidates[held].cost) {
+        if cheapest.is_none_or(|best| candidates[drawn].cost < candidates[best].cost) {
             cheapest = Some(drawn);
         }
     }
@@ -59,6 +61,8 @@
     cheaper_of_two(candidates, &all, rng).map(|i| (i, Reason::LastResort))
 }
 
+/// Returns the cheaper of two different targets drawn from `tier`, which holds indices
+/// of `candidates`, or the only target in it.
 fn cheaper_of_two(candidates: &[Candidate], tier: &[usize], rng: &mut Rng) -> Option<usize> {
     match tier {
         [] => None,
