--- a/src/coordination/budget.rs
+++ b/src/coordination/budget.rs
@@ -1,21 +1,24 @@
-//! How many further attempts a proxy may make.
+//! Retry budget: how many retries a proxy may make.
 //!
-//! Attempts beyond the first are paid from a budget that first attempts fill,
-//! so that retries stay a fixed share of the traffic however much fails. An
-//! inbound proxy's refusals do not travel further up a chain of calls as
-//! retriable. A run that is a retry makes its calls again; they are first attempts
-//! of their own, and paid from the same budget, as far as
-//! [`runs`](crate::coordination::decision::runs) tell them.
+//! Each first attempt adds a fraction of a token and each retry takes a token, so
+//! retries stay a fixed share of the traffic however many attempts fail. Refusals by
+//! an inbound proxy are not passed on up a chain of calls as retriable.
+//!
+//! A target that runs a repeat makes the calls of that request again. Each such call is
+//! a first attempt of its own, but takes a token from the same budget, too. The
+//! probability that a call is made by a repeat comes from
+//! [`runs`](crate::coordination::decision::runs).
 
 use crate::unit::Percent;
 
-/// The most attempts that can be saved up, or owed.
-const CAP: f64 = 20.0;
+/// The most tokens that a budget holds, and the largest debt that it runs up. A token
+/// is worth one retry.
+const MAX_TOKENS: f64 = 20.0;
 
-/// Further attempts for one request.
+/// The most retries of one request.
 pub const MAX_RETRIES: u32 = 2;
 
-/// The budget of one service on one proxy.
+/// The retry budget of one proxy for one service.
 ///
 /// # Example
 ///
@@ -27,7 +30,7 @@
 /// (0..10).for_each(|_| budget.earn(Percent::new(10), 0.0));
 /// assert!(budget.spend());
 /// assert!(!budget.spend());
-/// // Calls of retries alone pay for nothing.
+/// // Calls of repeats use up what first attempts add.
 /// (0..10).for_each(|_| budget.earn(Percent::new(10), 0.1));
 /// assert!(!budget.spend());
 /// ```
@@ -38,24 +41,27 @@
 
 impl Default for Budget {
     fn default() -> Self {
-        Self { tokens: CAP / 4.0 }
+        Self {
+            tokens: MAX_TOKENS / 4.0,
+        }
     }
 }
 
 impl Budget {
-    /// Adds what one first attempt pays in; `carried` is how likely it is a call of a run
-    /// that is itself a retry, which takes a further attempt out.
-    pub fn earn(&mut self, share: Percent, carried: f64) {
-        self.tokens = (self.tokens + share.fraction() - carried).clamp(-CAP, CAP);
+    /// Adds the tokens for one first attempt: `share` of a token, less `repeat_chance`,
+    /// the probability that the attempt is a call of a repeat.
+    pub fn earn(&mut self, share: Percent, repeat_chance: f64) {
+        self.tokens =
+            (self.tokens + share.fraction() - repeat_chance).clamp(-MAX_TOKENS, MAX_TOKENS);
     }
 
-    /// Takes one further attempt out; returns whether there was one.
+    /// Returns whether a retry may be made, and takes its token if so.
     pub fn spend(&mut self) -> bool {
-        // Sums of tenths fall short of the whole by a rounding error.
-        let enough = self.tokens + 1e-9 >= 1.0;
-        if enough {
+        // The tolerance covers rounding errors: ten times 0.1 is slightly less than 1.
+        let has_token = self.tokens + 1e-9 >= 1.0;
+        if has_token {
             self.tokens -= 1.0;
         }
-        enough
+        has_token
     }
 }
