--- a/src/coordination/once.rs
+++ b/src/coordination/once.rs
@@ -1,10 +1,10 @@
-//! At most once: keys, each bound to one life of one node.
+//! Idempotency keys: a request with a key runs at most once.
 //!
-//! A key names the only process that may run its request. Another node can't
-//! run it, however views of membership differ; a later life of the same node
-//! can't either. So nothing has to be agreed on, and nothing can lapse while
-//! its holder is paused. When that process is gone, what became of the
-//! request is unknown for good, and the answer says so.
+//! Each key is bound to one incarnation of one node, the only process that may run its
+//! request. Other nodes never run it, even if views of membership differ, and neither
+//! does a later incarnation of the same node. So nodes need not reach agreement, and
+//! there is no lease that could expire while its holder is paused. Once the process has
+//! ended, it stays unknown whether the request ran, and the refusal says so.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -22,7 +22,7 @@
     unit::{Size, Span},
 };
 
-/// The largest answer that is recorded for a repeat.
+/// The size in bytes of the largest answer that is recorded for repeats.
 pub const MAX_ANSWER: usize = 256 << 10;
 
 /// An idempotency key, written `node.incarnation.secret`.
@@ -30,9 +30,9 @@
 pub struct Key {
     /// The node whose target may run the request.
     pub node: Node,
-    /// The life of that node.
+    /// The incarnation of that node.
     pub incarnation: Incarnation,
-    /// Drawn at random, so that one caller can't guess another's.
+    /// A random number, so that a caller cannot guess another caller's key.
     pub secret: u128,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// A text that is not a key of this system.
+/// The error for a text that is not a key of this system.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("not an idempotency key of this system")]
 pub struct Error;
@@ -52,10 +52,10 @@
 
     fn from_str(text: &str) -> Result<Self, Error> {
         let mut parts = text.rsplitn(3, '.');
-        let mut next = || parts.next().ok_or(Error);
-        let secret = u128::from_str_radix(next()?, 16).map_err(|_| Error)?;
-        let incarnation = next()?.parse().map_err(|_| Error)?;
-        let node = next()?.parse().map_err(|_| Error)?;
+        let mut next_part = || parts.next().ok_or(Error);
+        let secret = u128::from_str_radix(next_part()?, 16).map_err(|_| Error)?;
+        let incarnation = next_part()?.parse().map_err(|_| Error)?;
+        let node = next_part()?.parse().map_err(|_| Error)?;
         Ok(Self {
             node,
             incarnation,
@@ -64,7 +64,7 @@
     }
 }
 
-/// A target's answer, kept for a repeat.
+/// A target's answer, recorded for repeats.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answer {
     /// The HTTP status.
@@ -75,60 +75,64 @@
     pub body: Bytes,
 }
 
-/// What is known of a keyed request that has ended.
+/// The recorded result of a keyed request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
-    /// It ran, and this was the answer.
+    /// The request ran and got this answer.
     Answered(Arc<Answer>),
-    /// It may have run; there is no answer.
+    /// The request may have run, but no answer is known.
     Unknown,
-    /// It ran, but the answer is too large to keep.
+    /// The request ran, but its answer is too large to be recorded.
     TooLarge,
-    /// It did not run; the key may be used again.
+    /// The request did not run; its key can be used again.
     NotRun(Refusal),
 }
 
-/// What to do with a keyed request.
+/// The decision on a keyed request.
 #[derive(Debug)]
 pub enum Begin {
-    /// Run it, and say how it ended through [`Ledger::end`].
+    /// Run the request, and pass its result to [`Ledger::end`].
     Run,
-    /// It runs already: wait for its end.
+    /// The request is running: wait for its result.
     Join(watch::Receiver<Option<Record>>),
-    /// It ended before.
+    /// The request ended earlier, with this result.
     Ended(Record),
-    /// It can't be run under this key.
+    /// The request can't be run under this key.
     Refuse(Refusal),
 }
 
-/// All keys of one life of one node.
+/// All keys issued by one incarnation of one node, with the results of their requests.
 ///
-/// Times are milliseconds since that life began, so no step of a clock can
-/// shorten or lengthen a key's life.
+/// Times are in milliseconds since the incarnation started, so clock steps do not change
+/// how long a key lasts.
 #[derive(Debug)]
 pub struct Ledger {
     entries: HashMap<u128, Entry>,
-    order: VecDeque<(u64, u128)>,
+    /// Expiry times and secrets of the keys, oldest first.
+    expiries: VecDeque<(u64, u128)>,
     limits: Limits,
+    /// The total size of the recorded answers.
     answer_bytes: usize,
 }
 
-/// What a [`Ledger`] may hold.
+/// The limits of a [`Ledger`].
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Keys, issued or used.
+    /// The most keys, used or not.
     pub keys: usize,
-    /// How long each lasts.
+    /// How long a key lasts.
     pub life: Span,
-    /// Bytes of recorded answers. Beyond it requests still run, but a repeat
-    /// is told that the answer is not kept.
+    /// The total size of recorded answers. Beyond it requests still run, but their
+    /// answers are not recorded, and repeats are refused with that reason.
     pub answers: Size,
 }
 
 #[derive(Debug)]
 struct Entry {
-    request: Option<u64>,
-    end: watch::Sender<Option<Record>>,
+    /// The digest of the request that used the key.
+    digest: Option<u64>,
+    /// The result of the request, once it has ended.
+    result: watch::Sender<Option<Record>>,
 }
 
 impl Ledger {
@@ -136,68 +140,70 @@
     pub fn new(limits: Limits) -> Self {
         Self {
             entries: HashMap::new(),
-            order: VecDeque::new(),
+            expiries: VecDeque::new(),
             limits,
             answer_bytes: 0,
         }
     }
 
-    /// Issues a key's secret, unless there is no room.
+    /// Adds a key with this secret, unless the limit on keys is reached. Returns whether
+    /// the key was added.
     ///
-    /// Keys are never dropped before their time to make room: a dropped key
-    /// could run its request again.
+    /// Keys are never dropped before they expire to make room for others: the request
+    /// of a dropped key could run a second time.
     pub fn issue(&mut self, secret: u128, now_ms: u64) -> bool {
         self.expire(now_ms);
         if self.entries.len() >= self.limits.keys {
             return false;
         }
         let entry = Entry {
-            request: None,
-            end: watch::Sender::new(None),
+            digest: None,
+            result: watch::Sender::new(None),
         };
         self.entries.insert(secret, entry);
-        self.order
+        self.expiries
             .push_back((now_ms + self.limits.life.as_millis(), secret));
         true
     }
 
+    /// Drops the keys that have expired.
     fn expire(&mut self, now_ms: u64) {
-        while let Some((until, secret)) = self.order.front().copied() {
-            if until > now_ms {
+        while let Some((expiry, secret)) = self.expiries.front().copied() {
+            if expiry > now_ms {
                 break;
             }
-            self.order.pop_front();
+            self.expiries.pop_front();
             if let Some(entry) = self.entries.remove(&secret) {
-                self.answer_bytes -= size_of_answer(entry.end.borrow().as_ref());
+                self.answer_bytes -= size_of_answer(entry.result.borrow().as_ref());
             }
         }
     }
 
-    /// Decides on the request with digest `request` under a key's secret.
-    pub fn begin(&mut self, secret: u128, request: u64, now_ms: u64) -> Begin {
+    /// Decides on a request with this digest under the key with this secret.
+    pub fn begin(&mut self, secret: u128, digest: u64, now_ms: u64) -> Begin {
         self.expire(now_ms);
         let Some(entry) = self.entries.get_mut(&secret) else {
-            // Expired: it may have run while the key lived.
+            // The key has expired. The request may have run before that.
             let reason = "the key has expired; what became of its request is not kept";
             return Begin::Refuse(Refusal::unknown(410, reason));
         };
-        match entry.request {
+        match entry.digest {
             None => {
-                entry.request = Some(request);
+                entry.digest = Some(digest);
                 Begin::Run
             }
-            Some(first) if first != request => Begin::Refuse(Refusal::rejected(
+            Some(first) if first != digest => Begin::Refuse(Refusal::rejected(
                 422,
                 "the key was used for another request",
             )),
-            Some(_) => match entry.end.borrow().clone() {
-                None => Begin::Join(entry.end.subscribe()),
+            Some(_) => match entry.result.borrow().clone() {
+                None => Begin::Join(entry.result.subscribe()),
                 Some(record) => Begin::Ended(record),
             },
         }
     }
 
-    /// Notes how the request under a key's secret ended.
+    /// Records the result of the request under the key with this secret.
     pub fn end(&mut self, secret: u128, record: Record) {
         let size = size_of_answer(Some(&record));
         let has_room = (self.answer_bytes + size) as u64 <= self.limits.answers.as_bytes();
@@ -205,30 +211,30 @@
             return;
         };
         if matches!(record, Record::NotRun(_)) {
-            // Those who joined are told; whoever comes next may run it.
-            entry.end.send_replace(Some(record));
-            entry.request = None;
-            entry.end = watch::Sender::new(None);
+            // Repeats that wait get this result; the next one may run the request.
+            entry.result.send_replace(Some(record));
+            entry.digest = None;
+            entry.result = watch::Sender::new(None);
         } else if has_room {
             self.answer_bytes += size;
-            entry.end.send_replace(Some(record));
+            entry.result.send_replace(Some(record));
         } else {
-            entry.end.send_replace(Some(Record::TooLarge));
+            entry.result.send_replace(Some(Record::TooLarge));
         }
     }
 
-    /// Returns the number of keys held.
+    /// Returns the number of keys that have not been dropped.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Returns whether no keys are held.
+    /// Returns whether there are no keys.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 }
 
-/// Returns the bytes that a record holds on to.
+/// Returns the size in bytes of the answer in a record, or 0 if it has none.
 fn size_of_answer(record: Option<&Record>) -> usize {
     match record {
         Some(Record::Answered(answer)) => {
