--- a/tests/coordination.rs
+++ b/tests/coordination.rs
@@ -1,5 +1,5 @@
-//! Duties and decisions with small fakes at their interfaces, and against
-//! naive versions, with fixed seeds.
+//! Tests of the coordination layer: background tasks with fakes of the log and of peers,
+//! and decisions as property tests with a fixed seed.
 
 use std::{
     collections::{BTreeMap, HashMap, HashSet, VecDeque},
@@ -96,7 +96,7 @@
     node
 }
 
-/// Records that add one failure domain each.
+/// Returns `count` log records that add one failure domain each.
 fn records(count: usize) -> Vec<Bytes> {
     let mut machine = Machine::new();
     let mut records = Vec::new();
@@ -143,7 +143,7 @@
 }
 
 #[tokio::test]
-async fn crossing_updates_never_lead_back_nor_apply_in_part() {
+async fn out_of_order_updates_never_revert_the_version_nor_apply_in_part() {
     let records = records(6);
     let node = node(1, "d");
     let applier = &node.applier;
@@ -153,10 +153,11 @@
         applier.records(at(0), records[..4].to_vec()).await.unwrap(),
         at(4)
     );
-    // An older snapshot after newer deltas.
+    // An older snapshot after newer records changes nothing.
     assert_eq!(applier.snapshot(old).await.unwrap(), at(4));
     assert_eq!(node.version(), at(4));
-    // A delta whose base is not held; the same one twice; one that overlaps.
+    // Records that start beyond the current version fail. Records that were applied
+    // already, or overlap such, do not.
     assert!(applier.records(at(5), records[5..].to_vec()).await.is_err());
     assert_eq!(
         applier
@@ -172,7 +173,7 @@
             .unwrap(),
         at(5)
     );
-    // Damaged: not a byte of it is used.
+    // A damaged snapshot is rejected as a whole.
     let mut damaged = machine(&records).snapshot().to_vec();
     let middle = damaged.len() / 2;
     damaged[middle] ^= 1;
@@ -200,18 +201,19 @@
     assert_eq!(catchup::serve(&node, at(2)).await.unwrap(), Reply::Current);
 }
 
-/// A log that holds `records` but forgot those before `first`.
+/// Returns a log that has dropped the part of `records` before `first`, and its stream of
+/// snapshot parts. A read returns three records at most, and does not wait.
 fn fake_log(
     first: u64,
     records: Vec<Bytes>,
     snapshots: Vec<Bytes>,
 ) -> (Log, Arc<Mutex<Vec<Bytes>>>) {
-    let written = Arc::new(Mutex::new(snapshots));
-    let (kept, taken) = (written.clone(), written.clone());
+    let snapshot_stream = Arc::new(Mutex::new(snapshots));
+    let (read_stream, append_stream) = (snapshot_stream.clone(), snapshot_stream.clone());
     let read = move |stream: rilltrack::id::Name, from: u64, _| {
         let (first, all) = match stream.as_str() {
             "config" => (first, records.clone()),
-            _ => (0, kept.lock().unwrap().clone()),
+            _ => (0, read_stream.lock().unwrap().clone()),
         };
         let next = all.len() as u64;
         let records = if from < first {
@@ -229,9 +231,9 @@
         .boxed()
     };
     let append = move |_, record| {
-        let mut taken = taken.lock().unwrap();
-        taken.push(record);
-        let offset = taken.len() as u64 - 1;
+        let mut stream = append_stream.lock().unwrap();
+        stream.push(record);
+        let offset = stream.len() as u64 - 1;
         async move { Ok(offset) }.boxed()
     };
     (
@@ -239,58 +241,66 @@
             read: Arc::new(read),
             append: Arc::new(append),
         },
-        written,
+        snapshot_stream,
     )
 }
 
-async fn follows(node: &Arc<Node>, log: Log, wanted: Version) -> bool {
+/// Returns whether `node`, following `log`, reaches version `wanted` within two seconds.
+async fn reaches(node: &Arc<Node>, log: Log, wanted: Version) -> bool {
     node.joined
         .store(true, std::sync::atomic::Ordering::Relaxed);
     let follow = Follow::new(node.clone(), unreachable_peers(), log).run();
     tokio::select! {
         () = follow => false,
-        reached = node.applier.reached(wanted) => reached.is_ok(),
+        result = node.applier.reached(wanted) => result.is_ok(),
         () = tokio::time::sleep(Duration::from_secs(2)) => false,
     }
 }
 
 #[tokio::test]
-async fn gap_in_the_log_is_bridged_by_a_snapshot_or_not_at_all() {
+async fn gap_in_the_log_is_closed_only_by_a_snapshot_that_covers_it() {
     let records = records(8);
-    let parts = |upto: usize, writing: u64| -> Vec<Bytes> {
-        let snapshot = machine(&records[..upto]).snapshot();
-        let parts = split(&snapshot, at(upto as u64), writing, 200);
+    let parts = |end: usize, writing: u64| -> Vec<Bytes> {
+        let snapshot = machine(&records[..end]).snapshot();
+        let parts = split(&snapshot, at(end as u64), writing, 200);
         parts
             .iter()
             .map(rilltrack::protocol::wire::encode)
             .collect()
     };
-    // Two writers raced, one died midway; the whole one covers the gap.
-    let (dead, whole) = (parts(7, 1), parts(5, 2));
+    // The parts of two concurrent snapshots alternate. The first writer crashed before its
+    // last part; the second snapshot is complete and covers the gap.
+    let (incomplete, complete) = (parts(7, 1), parts(5, 2));
     let mut stream = Vec::new();
-    for i in 0..dead.len().max(whole.len()) {
-        stream.extend(dead.get(i).filter(|_| i + 1 < dead.len()).cloned());
-        stream.extend(whole.get(i).cloned());
+    for i in 0..incomplete.len().max(complete.len()) {
+        stream.extend(
+            incomplete
+                .get(i)
+                .filter(|_| i + 1 < incomplete.len())
+                .cloned(),
+        );
+        stream.extend(complete.get(i).cloned());
     }
-    let node_with = node(1, "d");
+    let covered_node = node(1, "d");
     let (log, _) = fake_log(4, records.clone(), stream);
-    assert!(follows(&node_with, log, at(8)).await);
-    // The same snapshot ends before the log begins: no view is better.
-    let node_without = node(2, "d");
-    let (log, _) = fake_log(6, records.clone(), whole);
-    assert!(!follows(&node_without, log, at(1)).await);
-    assert!(!node_without.is_ready());
+    assert!(reaches(&covered_node, log, at(8)).await);
+    // The snapshot ends before the first record of the log, so the node gets no view
+    // rather than one with a gap.
+    let uncovered_node = node(2, "d");
+    let (log, _) = fake_log(6, records.clone(), complete);
+    assert!(!reaches(&uncovered_node, log, at(1)).await);
+    assert!(!uncovered_node.is_ready());
 }
 
 #[tokio::test]
-async fn log_that_does_not_wait_is_not_read_in_a_loop() {
+async fn log_that_returns_at_once_is_not_read_without_pause() {
     let node = node(1, "d");
     node.joined
         .store(true, std::sync::atomic::Ordering::Relaxed);
     let reads = Arc::new(Mutex::new(0));
-    let (counted, (log, _)) = (reads.clone(), fake_log(0, records(2), Vec::new()));
+    let (read_count, (log, _)) = (reads.clone(), fake_log(0, records(2), Vec::new()));
     let read = move |stream, from, wait| {
-        *counted.lock().unwrap() += 1;
+        *read_count.lock().unwrap() += 1;
         (log.read)(stream, from, wait)
     };
     let (unused, _) = fake_log(0, Vec::new(), Vec::new());
@@ -304,7 +314,7 @@
             .await
             .is_err()
     );
-    // A slow machine makes fewer; a loop without a pause makes thousands.
+    // A slow machine makes fewer reads; a loop without a pause makes thousands.
     assert!(
         *reads.lock().unwrap() <= 20,
         "{} reads",
@@ -314,16 +324,16 @@
 }
 
 #[tokio::test]
-async fn records_of_several_batches_are_spread_together() {
-    // The fake log gives three records a read; the member holds none yet.
+async fn records_of_several_reads_are_sent_together() {
+    // The log returns three records per read. The other member has none yet.
     let node = node(1, "d");
     node.absorb(vec![member(2, "d", Status::Alive, 1)]);
     node.applier.complete().await.unwrap();
-    let spread = Arc::new(Mutex::new(Vec::new()));
-    let seen = spread.clone();
+    let loads = Arc::new(Mutex::new(Vec::new()));
+    let sent_loads = loads.clone();
     let call: Call = Arc::new(move |_, frame, _| {
         if let Frame::Scatter(scatter) = frame {
-            seen.lock().unwrap().push(scatter.load);
+            sent_loads.lock().unwrap().push(scatter.load);
         }
         async move { Ok(Reply::Counted(Census::default())) }.boxed()
     });
@@ -334,7 +344,7 @@
     let first = async {
         loop {
             tokio::time::sleep(Duration::from_millis(10)).await;
-            if let Some(load) = spread.lock().unwrap().first().cloned() {
+            if let Some(load) = loads.lock().unwrap().first().cloned() {
                 return load;
             }
         }
@@ -371,10 +381,11 @@
     assert!(snapshot::read(&node, &log).await.unwrap().is_none());
 }
 
-/// Peers of which some are dead; a live one passes a scatter on.
-fn peers(dead: HashSet<SocketAddr>, taken: Arc<Mutex<HashMap<SocketAddr, usize>>>) -> Call {
+/// Returns a call to peers of which those in `dead` are unreachable. The others count a
+/// scatter in `received` and forward it.
+fn peers(dead: HashSet<SocketAddr>, received: Arc<Mutex<HashMap<SocketAddr, usize>>>) -> Call {
     Arc::new(move |peer, frame, _| {
-        let (dead, taken) = (dead.clone(), taken.clone());
+        let (dead, received) = (dead.clone(), received.clone());
         async move {
             let Frame::Scatter(scattered) = frame else {
                 return Err(Error::Unexpected(peer.to_string()));
@@ -382,9 +393,9 @@
             if dead.contains(&peer) {
                 return Err(Error::Unreachable(peer.to_string()));
             }
-            *taken.lock().unwrap().entry(peer).or_default() += 1;
-            let onward = scatter(peers(dead, taken), peer, scattered.load, scattered.slice);
-            let mut census: Census = onward.await;
+            *received.lock().unwrap().entry(peer).or_default() += 1;
+            let forwarded = scatter(peers(dead, received), peer, scattered.load, scattered.slice);
+            let mut census: Census = forwarded.await;
             census.current += 1;
             Ok(Reply::Counted(census))
         }
@@ -406,36 +417,36 @@
     #[test]
     fn scatter_reaches_every_live_node_once(count in 0..300u32, dead in vec(0..300u32, 0..40)) {
         let dead: HashSet<SocketAddr> = dead.into_iter().filter(|i| *i < count).map(address).collect();
-        let taken = Arc::new(Mutex::new(HashMap::new()));
+        let received = Arc::new(Mutex::new(HashMap::new()));
         let slice: Vec<SocketAddr> = (0..count).map(address).collect();
-        let call = peers(dead.clone(), taken.clone());
+        let call = peers(dead.clone(), received.clone());
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         let load = Load::Count { version: at(1) };
         let census = runtime.block_on(scatter(call, address(9999), load, slice));
         prop_assert_eq!(census.current as usize, count as usize - dead.len());
         prop_assert_eq!(census.silent as usize, dead.len());
-        let taken = taken.lock().unwrap();
-        prop_assert_eq!(taken.len(), count as usize - dead.len());
-        prop_assert!(taken.values().all(|times| *times == 1));
+        let received = received.lock().unwrap();
+        prop_assert_eq!(received.len(), count as usize - dead.len());
+        prop_assert!(received.values().all(|times| *times == 1));
     }
 
     #[test]
-    fn tables_that_compare_end_up_alike(
+    fn tables_agree_after_exchanging_differences(
         a in vec((0..30u32, 0..4u64, 0..4usize), 0..40), b in vec((0..30u32, 0..4u64, 0..4usize), 0..40)
     ) {
         let status = [Status::Alive, Status::Suspect, Status::Leaving, Status::Gone];
-        let table = |claims: &[(u32, u64, usize)]| {
+        let table = |records: &[(u32, u64, usize)]| {
             let mut table = Table::default();
-            for (i, sequence, s) in claims {
+            for (i, sequence, s) in records {
                 table.merge(member(*i, "d", status[*s], *sequence));
             }
             table
         };
         let (mut left, mut right) = (table(&a), table(&b));
-        let copy = |t: &Table, marks: &[u32]| -> Vec<Member> {
+        let differing = |t: &Table, marks: &[u32]| -> Vec<Member> {
             t.differing(marks).into_iter().map(|m| m.as_ref().clone()).collect()
         };
-        let (to_left, to_right) = (copy(&right, left.marks()), copy(&left, right.marks()));
+        let (to_left, to_right) = (differing(&right, left.marks()), differing(&left, right.marks()));
         for m in to_left {
             left.merge(m);
         }
@@ -443,21 +454,21 @@
             right.merge(m);
         }
         prop_assert_eq!(left.marks(), right.marks());
-        // The naive version: the newest claim about each node wins.
+        // Reference: the newest record of each node wins.
         let mut newest: BTreeMap<u32, (u64, Status)> = BTreeMap::new();
         for (i, sequence, s) in a.iter().chain(&b) {
-            let claim = (*sequence, status[*s]);
-            newest.entry(*i).and_modify(|held| *held = (*held).max(claim)).or_insert(claim);
+            let record = (*sequence, status[*s]);
+            newest.entry(*i).and_modify(|newest| *newest = (*newest).max(record)).or_insert(record);
         }
         for (i, (sequence, status)) in newest {
             let name = format!("n{i}").parse().unwrap();
-            let held = left.get(&name).unwrap();
-            prop_assert_eq!((held.sequence, held.status), (sequence, status));
+            let merged = left.get(&name).unwrap();
+            prop_assert_eq!((merged.sequence, merged.status), (sequence, status));
         }
     }
 
     #[test]
-    fn pick_keeps_its_rules(candidates in vec((0..3usize, 0..200u32, any::<bool>()), 0..20), seed in any::<u64>()) {
+    fn pick_prefers_near_and_cheap_targets(candidates in vec((0..3usize, 0..200u32, any::<bool>()), 0..20), seed in any::<u64>()) {
         let distances = [Distance::Domain, Distance::Region, Distance::Beyond];
         let candidates: Vec<Candidate> = candidates
             .into_iter()
@@ -467,37 +478,38 @@
         prop_assert_eq!(picked.is_none(), candidates.is_empty());
         let Some((index, reason)) = picked else { return Ok(()) };
         let chosen = candidates[index];
-        let open: Vec<&Candidate> = candidates.iter().filter(|c| !c.ejected).collect();
-        prop_assert_eq!(chosen.ejected, open.is_empty());
-        prop_assert_eq!(reason == Reason::LastResort, open.is_empty());
-        let tier = |d: Distance| -> Vec<u32> { open.iter().filter(|c| c.distance == d).map(|c| c.cost).collect() };
-        // No distance is passed over where all have room.
+        let eligible: Vec<&Candidate> = candidates.iter().filter(|c| !c.ejected).collect();
+        prop_assert_eq!(chosen.ejected, eligible.is_empty());
+        prop_assert_eq!(reason == Reason::LastResort, eligible.is_empty());
+        let costs_at = |d: Distance| -> Vec<u32> { eligible.iter().filter(|c| c.distance == d).map(|c| c.cost).collect() };
+        // A distance is skipped only if it has no eligible target, or one at or above the
+        // spillover cost.
         for nearer in distances.into_iter().filter(|d| *d < chosen.distance && !chosen.ejected) {
-            prop_assert!(tier(nearer).is_empty() || tier(nearer).iter().any(|cost| *cost >= 90));
+            prop_assert!(costs_at(nearer).is_empty() || costs_at(nearer).iter().any(|cost| *cost >= 90));
         }
-        // The dearest of a distance is never taken while others are cheaper.
-        let costs = tier(chosen.distance);
-        let dearest = costs.iter().max().copied().unwrap_or(0);
-        let alone = costs.iter().filter(|cost| **cost == dearest).count() == 1;
-        if !chosen.ejected && costs.len() > 1 && alone {
-            prop_assert!(chosen.cost < dearest);
+        // The single most expensive target of a distance is never chosen over others there.
+        let costs = costs_at(chosen.distance);
+        let highest = costs.iter().max().copied().unwrap_or(0);
+        let is_single = costs.iter().filter(|cost| **cost == highest).count() == 1;
+        if !chosen.ejected && costs.len() > 1 && is_single {
+            prop_assert!(chosen.cost < highest);
         }
     }
 
     #[test]
-    fn gate_keeps_its_limits_and_starves_nobody(
+    fn limiter_keeps_its_limits_and_starves_no_request(
         steps in vec((0..4u8, 0..3usize), 1..200), slots in 1..10u32, queue in 0..10u32
     ) {
         let classes = [Class::Critical, Class::Normal, Class::Bulk];
-        let (now, took) = (Instant::now(), Duration::from_millis(10));
-        let far = now + Duration::from_secs(3600);
+        let (now, run_time) = (Instant::now(), Duration::from_millis(10));
+        let deadline = now + Duration::from_secs(3600);
         let mut limiter = Limiter::new(slots, queue);
         let mut running: Vec<Class> = Vec::new();
         let mut waiting: HashMap<u64, Class> = HashMap::new();
         for (step, class) in steps {
             let class = classes[class];
             if step < 2 {
-                match limiter.admit(class, far, now) {
+                match limiter.admit(class, deadline, now) {
                     Admission::Admitted => running.push(class),
                     Admission::Queued { ticket, evicted } => {
                         if let Some(evicted) = evicted {
@@ -506,27 +518,27 @@
                         }
                         waiting.insert(ticket, class);
                     }
-                    Admission::Rejected(later) => {
-                        prop_assert!(waiting.len() as u32 >= queue && later.as_millis() > 0);
+                    Admission::Rejected(retry_after) => {
+                        prop_assert!(waiting.len() as u32 >= queue && retry_after.as_millis() > 0);
                     }
                 }
             } else if !running.is_empty() {
                 let ended = running.remove(0);
-                for ticket in limiter.release(ended, took, now) {
+                for ticket in limiter.release(ended, run_time, now) {
                     running.push(waiting.remove(&ticket).unwrap());
                 }
             }
             prop_assert!(running.len() as u32 <= slots);
-            // A class may have one place beside the queue, and so may another.
-            let places = if queue == 0 { 0 } else { queue + 2 };
-            prop_assert!(waiting.len() as u32 <= places);
+            // If one class fills the queue, each of the other two may have one more waiter.
+            let max_waiting = if queue == 0 { 0 } else { queue + 2 };
+            prop_assert!(waiting.len() as u32 <= max_waiting);
             prop_assert_eq!(limiter.running_count() as usize, running.len());
-            // No slot idles while something waits.
+            // No slot is free while requests wait.
             prop_assert!(waiting.is_empty() || running.len() as u32 == slots);
         }
-        // All that wait get their turn once what runs ends.
+        // All waiting requests start as running ones end.
         while let Some(ended) = running.pop() {
-            for ticket in limiter.release(ended, took, now) {
+            for ticket in limiter.release(ended, run_time, now) {
                 running.push(waiting.remove(&ticket).unwrap());
             }
         }
@@ -534,26 +546,26 @@
     }
 
     #[test]
-    fn key_runs_at_most_once(steps in vec((0..5u8, 0..4u128, 0..2u64), 1..100)) {
+    fn request_runs_at_most_once_per_key(steps in vec((0..5u8, 0..4u128, 0..2u64), 1..100)) {
         let mut ledger = Ledger::new(limits(3, 1000));
         let (mut now, mut issued, mut runs) = (0, HashSet::new(), HashMap::<u128, u32>::new());
-        let mut open: HashSet<u128> = HashSet::new();
+        let mut running: HashSet<u128> = HashSet::new();
         for (step, secret, request) in steps {
             now += 3;
             match step {
-                // A secret is drawn once: 128 random bits don't come twice.
+                // Each secret is issued once, as 128 random bits do not repeat.
                 0 if !issued.contains(&secret) && ledger.issue(secret, now) => {
                     issued.insert(secret);
                 }
                 1 | 2 => if matches!(ledger.begin(secret, request, now), Begin::Run) {
-                    prop_assert!(issued.contains(&secret) && open.insert(secret));
+                    prop_assert!(issued.contains(&secret) && running.insert(secret));
                     *runs.entry(secret).or_default() += 1;
                 },
-                3 if open.remove(&secret) => {
+                3 if running.remove(&secret) => {
                     let answer = Answer { status: 200, headers: Default::default(), body: Bytes::new() };
                     ledger.end(secret, Record::Answered(Arc::new(answer)));
                 }
-                4 if open.remove(&secret) => {
+                4 if running.remove(&secret) => {
                     ledger.end(secret, Record::Unknown);
                 }
                 _ => {}
@@ -574,33 +586,33 @@
         prop_assert!(f64::from(retries) <= 5.0 + calls.len() as f64 * f64::from(share) / 100.0 + 1e-6);
     }
 
-    /// Each service of a chain of calls fails half of what it gets. A retry runs at another
-    /// target and makes its call again there: to the service behind that is a further
-    /// attempt, too, whoever pays for it.
+    /// In a chain of two services, each fails half of its requests. A retry runs at another
+    /// target of the first service, which makes the call to the second service again. That
+    /// call is an extra attempt at the second service, whichever budget it is taken from.
     #[test]
     fn retries_and_the_calls_of_retries_stay_a_share_of_first_attempts(
         steps in vec((any::<bool>(), any::<bool>()), 500..3000), share in 5..50u8,
     ) {
-        let (mut front, mut behind) = (Budget::default(), Budget::default());
-        let (mut first, mut further) = (0, 0);
+        let (mut first_budget, mut second_budget) = (Budget::default(), Budget::default());
+        let (mut calls, mut extra) = (0, 0);
         for (fails, call_fails) in steps {
-            front.earn(Percent::new(share), 0.0);
-            let retries = u32::from(fails && front.spend());
+            first_budget.earn(Percent::new(share), 0.0);
+            let retries = u32::from(fails && first_budget.spend());
             for run in 0..=retries {
-                behind.earn(Percent::new(share), f64::from(run));
-                first += 1;
-                further += run + u32::from(call_fails && behind.spend());
+                second_budget.earn(Percent::new(share), f64::from(run));
+                calls += 1;
+                extra += run + u32::from(call_fails && second_budget.spend());
             }
         }
         let share = f64::from(share) / 100.0;
-        // Beside what is saved up at the start: what the one in front pays for may not be
-        // refused here.
-        let most = 10.0 + f64::from(first) * share;
-        prop_assert!(f64::from(further) <= most, "{further} of {most}");
+        // 10 is the sum of the tokens that both budgets start with: the second budget
+        // cannot refuse the calls of retries that the first one allowed.
+        let limit = 10.0 + f64::from(calls) * share;
+        prop_assert!(f64::from(extra) <= limit, "{extra} extra attempts, limit {limit}");
     }
 }
 
-/// Names each case of plain tests.
+/// Defines a test for each named block.
 macro_rules! cases {
     ($($name:ident => $body:block)*) => {
         $(#[test] fn $name() $body)*
@@ -608,7 +620,7 @@
 }
 
 cases! {
-    late_request_is_refused_when_it_comes => {
+    request_that_cannot_start_in_time_is_rejected_on_arrival => {
         let now = Instant::now();
         let mut limiter = Limiter::new(1, 100);
         assert_eq!(limiter.admit(Class::Normal, now + Duration::from_secs(9), now), Admission::Admitted);
@@ -619,26 +631,26 @@
         assert!(matches!(limiter.admit(Class::Normal, now + Duration::from_secs(9), now), Admission::Queued { .. }));
     }
 
-    critical_request_goes_before_others_that_wait_and_no_slot_is_kept_for_it => {
-        let (now, far) = (Instant::now(), Instant::now() + Duration::from_secs(9));
+    critical_request_starts_before_other_waiters_and_has_no_reserved_slot => {
+        let (now, deadline) = (Instant::now(), Instant::now() + Duration::from_secs(9));
         let mut limiter = Limiter::new(4, 10);
-        (0..4).for_each(|_| assert_eq!(limiter.admit(Class::Bulk, far, now), Admission::Admitted));
-        assert!(matches!(limiter.admit(Class::Bulk, far, now), Admission::Queued { .. }));
-        assert!(matches!(limiter.admit(Class::Normal, far, now), Admission::Queued { .. }));
-        let Admission::Queued { ticket, .. } = limiter.admit(Class::Critical, far, now) else {
-            panic!("it waits")
+        (0..4).for_each(|_| assert_eq!(limiter.admit(Class::Bulk, deadline, now), Admission::Admitted));
+        assert!(matches!(limiter.admit(Class::Bulk, deadline, now), Admission::Queued { .. }));
+        assert!(matches!(limiter.admit(Class::Normal, deadline, now), Admission::Queued { .. }));
+        let Admission::Queued { ticket, .. } = limiter.admit(Class::Critical, deadline, now) else {
+            panic!("the request is not queued")
         };
         assert_eq!(limiter.release(Class::Bulk, Duration::from_millis(1), now), [ticket]);
     }
 
-    no_class_is_starved_though_critical_requests_flood => {
-        let (now, far) = (Instant::now(), Instant::now() + Duration::from_secs(9));
+    no_class_is_starved_by_a_flood_of_critical_requests => {
+        let (now, deadline) = (Instant::now(), Instant::now() + Duration::from_secs(9));
         let mut limiter = Limiter::new(4, 8);
         let (mut running, mut waiting) = (VecDeque::new(), HashMap::new());
         let (mut bulk, mut normal) = (0, 0);
         for _ in 0..1000 {
             for class in [Class::Critical, Class::Normal, Class::Normal, Class::Bulk] {
-                match limiter.admit(class, far, now) {
+                match limiter.admit(class, deadline, now) {
                     Admission::Admitted => running.push_back(class),
                     Admission::Queued { ticket, evicted } => {
                         evicted.map(|evicted| waiting.remove(&evicted));
@@ -647,7 +659,7 @@
                     Admission::Rejected(_) => {}
                 }
             }
-            // One request ends for four that come.
+            // One request ends for every four that arrive.
             let ended = running.pop_front().unwrap();
             for ticket in limiter.release(ended, Duration::from_millis(1), now) {
                 let class = waiting.remove(&ticket).unwrap();
@@ -659,16 +671,16 @@
         assert!(bulk >= 50 && normal >= 50, "{bulk} bulk and {normal} normal of 1000 grants");
     }
 
-    readers_are_few_and_replaced_when_they_die => {
+    readers_are_limited_and_replaced_when_suspected => {
         let mut table = Table::default();
         for i in 0..50 {
             table.merge(member(i, if i < 25 { "d" } else { "e" }, Status::Alive, 1));
         }
         let domain = "d".parse().unwrap();
         let readers = |table: &Table| -> Vec<u32> {
-            let place = |i: &u32| rank::reader(table, &domain, &format!("n{i}").parse().unwrap());
+            let rank_of = |i: &u32| rank::reader(table, &domain, &format!("n{i}").parse().unwrap());
             let alive = (0..25).filter(|i| table.get(&format!("n{i}").parse().unwrap()).unwrap().status == Status::Alive);
-            alive.filter(|i| place(i) < rank::READERS).collect()
+            alive.filter(|i| rank_of(i) < rank::READERS).collect()
         };
         let first = readers(&table);
         assert_eq!(first.len(), rank::READERS);
@@ -680,7 +692,7 @@
         assert!(second.iter().all(|i| !first.contains(i)));
     }
 
-    everybody_is_pinged_and_news_reaches_all_in_few_steps => {
+    every_node_is_pinged_and_news_reaches_all_in_few_rounds => {
         for count in [2u32, 3, 10, 100, 400] {
             let mut table = Table::default();
             for i in 0..count {
@@ -693,49 +705,49 @@
                 .map(|i| rank::partners(&table, &domain, &name(i)).iter().map(|m| m.peers).collect())
                 .collect();
             for i in 0..count {
-                let watchers = pings.iter().filter(|partners| partners.contains(&address(i))).count();
-                assert!(watchers >= 2.min(count as usize - 1), "{watchers} watch {i} of {count}");
+                let pinging = pings.iter().filter(|partners| partners.contains(&address(i))).count();
+                assert!(pinging >= 2.min(count as usize - 1), "{pinging} of {count} nodes ping n{i}");
                 assert!(pings[i as usize].len() <= 6 && !pings[i as usize].contains(&address(i)));
                 let far = rank::far_partners(&table, &domain, &name(i));
                 assert!((1..=3).contains(&far.len()) && far.iter().all(|m| m.domain.as_str() == "e"));
             }
-            // A ping carries news both ways.
-            let mut knows: HashSet<SocketAddr> = HashSet::from([address(0)]);
-            let mut steps = 0;
-            while knows.len() < count as usize {
-                let before = knows.clone();
+            // A ping and its answer carry news in both directions.
+            let mut informed: HashSet<SocketAddr> = HashSet::from([address(0)]);
+            let mut rounds = 0;
+            while informed.len() < count as usize {
+                let before = informed.clone();
                 for (i, partners) in pings.iter().enumerate() {
                     let me = address(i as u32);
                     if before.contains(&me) {
-                        knows.extend(partners);
+                        informed.extend(partners);
                     } else if partners.iter().any(|partner| before.contains(partner)) {
-                        knows.insert(me);
+                        informed.insert(me);
                     }
                 }
-                steps += 1;
-                assert!(steps <= 6, "{} of {count} after {steps} steps", knows.len());
+                rounds += 1;
+                assert!(rounds <= 6, "{} of {count} informed after {rounds} rounds", informed.len());
             }
         }
     }
 
-    own_observations_go_before_claims => {
+    own_observations_override_reported_load => {
         let (now, target) = (Instant::now(), "n1".parse().unwrap());
         let mut health = Health::default();
-        let look = |health: &mut Health, at: Instant| health.look(&target, Incarnation(1), 10, at);
-        // Cold at first, warm later.
-        assert!(look(&mut health, now).0 > 0);
+        let assess = |health: &mut Health, at: Instant| health.look(&target, Incarnation(1), 10, at);
+        // A new target has an extra cost; after the slow start it has none.
+        assert!(assess(&mut health, now).0 > 0);
         let later = now + Duration::from_secs(20);
-        assert_eq!(look(&mut health, later), (0, false));
-        // It claims to be idle while it sheds.
+        assert_eq!(assess(&mut health, later), (0, false));
+        // The target sheds a request, but reports no load.
         health.start(&target, Incarnation(1), later);
         health.finish(&target, End::Shed(Some(0)), later);
-        assert_eq!(look(&mut health, later).0, 100);
+        assert_eq!(assess(&mut health, later).0, 100);
         for _ in 0..5 {
             health.start(&target, Incarnation(1), later);
             health.finish(&target, End::Failed, later);
         }
-        assert!(look(&mut health, later).1);
-        // Another life is another target.
+        assert!(assess(&mut health, later).1);
+        // An ejection does not carry over to a new incarnation.
         assert!(!health.look(&target, Incarnation(2), 10, later).1);
     }
 
@@ -752,14 +764,14 @@
         }
         assert!(matches!(ledger.begin(1, 1, 0), Begin::Ended(Record::Answered(_))));
         assert!(matches!(ledger.begin(2, 1, 0), Begin::Ended(Record::TooLarge)));
-        // Expired answers make room again.
+        // Expired answers no longer count.
         assert!(ledger.issue(3, 100));
         assert!(matches!(ledger.begin(3, 1, 100), Begin::Run));
         ledger.end(3, answer(250));
         assert!(matches!(ledger.begin(3, 1, 100), Begin::Ended(Record::Answered(_))));
     }
 
-    claims_of_an_older_life_are_outdated => {
+    records_of_an_older_incarnation_are_ignored => {
         let mut table = Table::default();
         let fresh = Member { incarnation: Incarnation(2), ..member(1, "d", Status::Alive, 1) };
         assert!(table.merge(member(1, "d", Status::Gone, 9)));
@@ -767,7 +779,7 @@
         assert!(!table.merge(member(1, "d", Status::Gone, 99)));
     }
 
-    parts_out_of_order_make_no_snapshot => {
+    snapshot_with_a_missing_part_is_not_assembled => {
         let parts = split(&Bytes::from(vec![1u8; 1000]), at(3), 5, 300);
         for missing in 0..parts.len() {
             let mut assembly = Assembly::default();
@@ -781,13 +793,13 @@
 }
 
 #[tokio::test]
-async fn member_taken_for_gone_refutes_it_and_a_stranger_life_does_not() {
+async fn member_declared_gone_refutes_it_in_its_next_ping() {
     let node = node(1, "d");
     let before = node.me();
     node.absorb(vec![member(1, "d", Status::Gone, before.sequence)]);
     let me = node.me();
     assert!(me.status == Status::Alive && me.sequence > before.sequence);
-    // Others hear of it at once: it rides on the next ping.
+    // The refutation is part of the next ping.
     let news = gossip::news(&node);
     assert!(
         news.members
@@ -797,8 +809,9 @@
 }
 
 #[tokio::test]
-async fn clock_set_back_between_two_lives_does_not_shut_a_node_out() {
-    // Others still hold the earlier life, which the clock made the later one.
+async fn node_rejoins_after_its_clock_was_set_back() {
+    // The clock was set back between two incarnations. Others still hold the earlier one,
+    // which has the higher incarnation number.
     let earlier = Member {
         incarnation: Incarnation(99),
         ..member(1, "d", Status::Gone, 7)
@@ -812,11 +825,11 @@
 }
 
 #[tokio::test]
-async fn news_is_told_on_but_a_whole_table_is_not() {
-    let told = |node: &Arc<Node>| {
-        let mut told = HashSet::new();
-        (0..100).for_each(|_| told.extend(gossip::news(node).members.into_iter().map(|m| m.node)));
-        told.len()
+async fn news_is_relayed_but_a_whole_table_is_not() {
+    let relayed = |node: &Arc<Node>| {
+        let mut nodes = HashSet::new();
+        (0..100).for_each(|_| nodes.extend(gossip::news(node).members.into_iter().map(|m| m.node)));
+        nodes.len()
     };
     let table = |range: std::ops::Range<u32>, sequence| -> Vec<Member> {
         range
@@ -825,17 +838,17 @@
     };
     let node = node(1, "d");
     assert_eq!(node.absorb(table(100..200, 1)), 100);
-    assert_eq!(told(&node), 1, "only itself");
-    // After a cut: much at once, but little of what is known.
+    assert_eq!(relayed(&node), 1, "members of the whole table are relayed");
+    // After a partition: many updates at once, but of less than half of the known members.
     assert_eq!(node.absorb(table(100..140, 2)), 40);
-    assert_eq!(told(&node), 40);
+    assert_eq!(relayed(&node), 40);
 }
 
 #[tokio::test]
-async fn fresh_node_does_not_hammer_peers_that_are_busy() {
+async fn new_node_does_not_fetch_from_busy_peers_without_pause() {
     let node = node_with_seeds(1, "d", &[address(2)]);
     let fetches = Arc::new(Mutex::new(0));
-    let counted = fetches.clone();
+    let fetch_count = fetches.clone();
     let call: Call = Arc::new(move |_, frame, _| {
         let reply = match frame {
             Frame::Ping(_) => Reply::Pong(News {
@@ -845,7 +858,7 @@
                 members: Vec::new(),
             }),
             Frame::Fetch(_) => {
-                *counted.lock().unwrap() += 1;
+                *fetch_count.lock().unwrap() += 1;
                 Reply::Later(Span::from_millis(300))
             }
             _ => Reply::Members {
@@ -861,7 +874,7 @@
             .await
             .is_err()
     );
-    // A slow machine makes fewer; a loop without a pause makes thousands.
+    // A slow machine makes fewer fetches; a loop without a pause makes thousands.
     assert!(
         *fetches.lock().unwrap() <= 20,
         "{} fetches",
@@ -871,7 +884,7 @@
 }
 
 #[tokio::test]
-async fn silent_sender_hears_that_it_is_doubted() {
+async fn suspected_sender_learns_of_it_from_the_pong() {
     let node = node(1, "d");
     node.absorb(vec![member(2, "d", Status::Suspect, 1)]);
     let from = News {
@@ -881,7 +894,7 @@
         members: Vec::new(),
     };
     let Reply::Pong(news) = gossip::answer(&node, &unreachable_peers(), from) else {
-        panic!("a pong")
+        panic!("the reply is not a pong")
     };
     assert!(
         news.members
