--- a/src/protocol/announce.rs
+++ b/src/protocol/announce.rs
@@ -1,4 +1,4 @@
-//! How targets announce themselves to the node on their host.
+//! Announcements and heartbeats that targets send to the node on their host.
 
 use std::net::SocketAddr;
 
@@ -9,21 +9,21 @@
     unit::Span,
 };
 
-/// Where a target posts its [`Announcement`], as JSON.
+/// The path to which a target posts its [`Announcement`], as JSON.
 pub const PATH: &str = "/targets";
 
 /// A target's announcement, which is also its heartbeat.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Announcement {
-    /// The service it offers.
+    /// The service that the target offers.
     pub service: Name,
-    /// Where it listens.
+    /// The address on which the target listens.
     pub address: SocketAddr,
-    /// Whether it speaks HTTP/2 without being asked, in place of HTTP/1.1.
+    /// Whether the target speaks HTTP/2 with prior knowledge instead of HTTP/1.1.
     #[serde(default)]
     pub http2: bool,
-    /// Set when it leaves: it finishes what it has and gets no new work.
+    /// Whether the target is draining: it finishes its requests and gets no new ones.
     #[serde(default)]
     pub draining: bool,
 }
@@ -31,37 +31,36 @@
 /// The answer to an [`Announcement`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Lease {
-    /// The target is forgotten unless it announces itself again within this
-    /// span.
+    /// The time after which the target is removed unless it sends another announcement.
     pub expires_after: Span,
 }
 
-/// What a target says of itself to the node beside it, every few seconds.
+/// A target's heartbeat to the node on its host, sent every few seconds.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Heartbeat {
-    /// The life of the target's process that sends it.
+    /// The sending instance of the target.
     pub instance: Instance,
-    /// Counts its heartbeats, so that a late one can be told.
+    /// The instance's heartbeat count, by which late heartbeats are recognized.
     pub sequence: u64,
-    /// The service it offers.
+    /// The service that the target offers.
     pub service: Name,
-    /// Where it is reached.
+    /// The address at which the target receives requests.
     pub address: SocketAddr,
-    /// Requests it runs at a time.
+    /// Slots: the most requests that the target runs at a time.
     pub slots: u32,
-    /// Whether it is leaving and gets no new work.
+    /// Whether the target is draining and gets no new requests.
     pub draining: bool,
-    /// How long it stays slow after its start.
+    /// The warm-up time after its start, in which the target is slow.
     pub warmup: Span,
-    /// The release of its program, if it names one.
+    /// The release of the target's program, if the target reports one.
     pub release: Option<Release>,
 }
 
-/// A call of a target to the node beside it.
+/// A call of a target to the node on its host.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Message {
-    /// It is there.
+    /// The target is running.
     Heartbeat(Heartbeat),
-    /// The instance is gone, or about to be.
+    /// The instance has terminated or is about to.
     Leave(Instance),
 }
--- a/src/protocol/answer.rs
+++ b/src/protocol/answer.rs
@@ -1,49 +1,49 @@
-//! The headers by which callers and nodes tell each other what became of a
-//! request.
+//! The headers by which nodes and callers exchange the outcome of a request.
 //!
-//! Headers that start with [`PREFIX`] belong to the system: an inbound proxy
-//! strips them from a target's answer, so a target (or a call deeper in the
-//! chain) can't make a proxy retry.
+//! Headers that start with [`PREFIX`] are reserved for the system. An inbound proxy
+//! removes them from a target's response, so that neither the target nor a service
+//! that it called can make a proxy retry.
 
 use crate::{unit::Span, words::words};
 
-/// The start of every header of the system.
+/// The prefix of all headers of the system.
 pub const PREFIX: &str = "rilltrack-";
-/// What became of the request: an [`Outcome`].
+/// Whether the request ran: an [`Outcome`].
 pub const OUTCOME: &str = "rilltrack-outcome";
-/// Why, in words, for whoever reads logs.
+/// The reason of a refusal, as text for people who read logs.
 pub const REASON: &str = "rilltrack-reason";
-/// Milliseconds that are left for the request; relative, so that no two
-/// clocks need to agree.
+/// Milliseconds left until the request's deadline. Relative, so that clocks of hosts
+/// need not agree.
 pub const DEADLINE: &str = "rilltrack-deadline-ms";
 /// The key under which a non-idempotent request runs at most once.
 pub const KEY: &str = "idempotency-key";
-/// From an outbound proxy: the request is to run at most once under its key.
+/// From an outbound proxy: the request may run at most once under its key.
 pub const KEYED: &str = "rilltrack-keyed";
 /// From an outbound proxy: the service the request is for.
 pub const SERVICE: &str = "rilltrack-service";
-/// From an outbound proxy: its node name.
+/// From an outbound proxy: the name of its node.
 pub const NODE: &str = "rilltrack-node";
 /// From an outbound proxy: its failure domain.
 pub const DOMAIN: &str = "rilltrack-domain";
-/// The sender's configuration version, on requests and answers.
+/// On requests and responses: the sender's configuration version.
 pub const VERSION: &str = "rilltrack-version";
 /// From an outbound proxy: the class of the request.
 pub const CLASS: &str = "rilltrack-class";
-/// From an outbound proxy: the request may have run before, or runs elsewhere.
+/// From an outbound proxy: an earlier attempt of the request may have run, or still
+/// runs at another node.
 pub const AGAIN: &str = "rilltrack-again";
-/// From an inbound proxy: requests running and waiting over slots, in
+/// From an inbound proxy: running plus waiting requests, divided by slots, in
 /// hundredths.
 pub const LOAD: &str = "rilltrack-load";
 
-/// What became of a request, as far as is known.
+/// Whether a request ran, as far as is known.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// The answer is the target's.
+    /// The response is the target's.
     Answered,
-    /// The answer is the target's, recorded when the request ran before.
+    /// The response is the target's, recorded when the request ran earlier.
     Recorded,
-    /// The target did not get the request.
+    /// The request did not run.
     NotRun,
     /// The request may or may not have run.
     Unknown,
@@ -62,22 +62,22 @@
     Unknown: "unknown",
 }
 
-/// A final answer by the system itself, in place of a target's.
+/// A response by the system itself, in place of a target's.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Refusal {
     /// Whether the request ran; never [`Outcome::Answered`].
     pub outcome: Outcome,
     /// The HTTP status.
     pub status: u16,
-    /// Why, in words.
+    /// The reason, as text for people.
     pub reason: String,
-    /// When to come back, if that may help.
+    /// The time after which a retry may succeed, if any.
     pub retry_after: Option<Span>,
 }
 
 impl Refusal {
-    /// Returns a refusal of a request that did not run and may be sent again
-    /// after `retry_after`.
+    /// Returns a refusal of a request that did not run and may be retried after
+    /// `retry_after`.
     pub fn not_run(reason: impl Into<String>, retry_after: Span) -> Self {
         Self {
             outcome: Outcome::NotRun,
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Returns a refusal of a request that did not run and will never, as it
-    /// stands.
+    /// Returns a refusal of a request that did not run, and for which a retry without
+    /// changes is useless.
     pub fn rejected(status: u16, reason: impl Into<String>) -> Self {
         Self {
             outcome: Outcome::NotRun,
@@ -98,12 +98,13 @@
         }
     }
 
-    /// Returns whether it did not run and will not anywhere, as it stands.
+    /// Returns whether the request did not run and a retry without changes is useless at
+    /// any node.
     pub fn is_final(&self) -> bool {
         self.outcome == Outcome::NotRun && self.retry_after.is_none()
     }
 
-    /// Returns the answer to a request of which it isn't known whether it ran.
+    /// Returns a refusal of a request that may or may not have run.
     pub fn unknown(status: u16, reason: impl Into<String>) -> Self {
         Self {
             outcome: Outcome::Unknown,
--- a/src/protocol/dialect.rs
+++ b/src/protocol/dialect.rs
@@ -1,37 +1,35 @@
-//! The headers that callers and targets speak, by what they mean.
+//! The headers of callers and targets, and the values that they carry.
 //!
-//! The names differ from platform to platform, so the relay takes them as
-//! values. What nodes say to each other stands in
-//! [`hop`](super::hop) and is always the
-//! same.
+//! Header names differ between platforms, so the relay gets them as values. The
+//! header between nodes, in [`hop`](super::hop), is the same on all platforms.
 
 use std::time::Duration;
 
 use http::HeaderName;
 
-/// The names of the headers that have a meaning for the relay.
+/// The platform's names of the headers that the relay reads or writes.
 #[derive(Clone, Debug)]
 pub struct Dialect {
-    /// The id of one attempt of a caller. Targets echo it, which tells an
-    /// answer to this request from a late one to another.
+    /// The id of one attempt of a caller. Targets echo it, so that a late response to
+    /// another request can be told apart.
     pub id: HeaderName,
-    /// Milliseconds that the sender will wait.
+    /// Milliseconds that the sender waits for the response.
     pub deadline: HeaderName,
-    /// The instance of the target that is meant; any other refuses.
+    /// The expected instance of the target; any other instance refuses the request.
     pub expect: HeaderName,
-    /// The service on the host at which the request began.
+    /// The service on whose host the request began.
     pub caller: HeaderName,
-    /// A target's proof that it made the answer.
+    /// A target's proof that it produced the response.
     pub proof: HeaderName,
-    /// On a target's answer: the request has not run.
+    /// On a target's response: the request has not run.
     pub not_run: HeaderName,
-    /// On a target's answer: requests running, waiting and its slots, with
-    /// commas between.
+    /// On a target's response: its running requests, waiting requests and slots,
+    /// separated by commas.
     pub load: HeaderName,
 }
 
 impl Default for Dialect {
-    /// The product's own names.
+    /// Returns the product's own names.
     fn default() -> Self {
         Self {
             id: HeaderName::from_static("rilltrack-request"),
@@ -45,35 +43,38 @@
     }
 }
 
-/// How long a target takes for a request, over what is usual for it: 1 is as usual, 2
-/// twice as long. Never zero, negative or without end.
+/// The slowdown of a target: the ratio of run time to usual run time.
+///
+/// 1 is the usual run time, 2 twice as long. Always finite and above zero.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Pace(f64);
 
 impl Pace {
-    /// Bounds on one request's say, lest a single outlier decide.
-    const BOUNDS: (f64, f64) = (0.2, 8.0);
+    /// The bounds of one request's slowdown, so that a single outlier doesn't dominate a
+    /// mean.
+    const FACTOR_BOUNDS: (f64, f64) = (0.2, 8.0);
 
-    /// Returns the pace of one request.
+    /// Returns the slowdown of one request that took `took` instead of `usual`.
     pub fn of(took: Duration, usual: Duration) -> Self {
         let usual = usual.as_secs_f64().max(1e-4);
-        let (least, most) = Self::BOUNDS;
-        Self((took.as_secs_f64() / usual).clamp(least, most))
+        let (min, max) = Self::FACTOR_BOUNDS;
+        Self((took.as_secs_f64() / usual).clamp(min, max))
     }
 
-    /// Returns a mean of this pace and `other`, which has `weight` of 1.
+    /// Returns the weighted mean of this slowdown and `other`, where `weight` is the
+    /// share of `other`, from 0 to 1.
     pub fn towards(self, other: Self, weight: f64) -> Self {
         Self(self.0 + weight * (other.0 - self.0))
     }
 
-    /// Returns it as a factor.
+    /// Returns the ratio.
     pub fn factor(self) -> f64 {
         self.0
     }
 }
 
 impl Default for Pace {
-    /// As usual.
+    /// Returns the slowdown of a target with its usual run time.
     fn default() -> Self {
         Self(1.0)
     }
@@ -85,9 +86,9 @@
     }
 }
 
-/// A text that is no pace.
+/// A text that is not a slowdown.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
-#[error("`{0}` is not a pace: a number above zero")]
+#[error("`{0}` is not a slowdown: expected a number above zero")]
 pub struct PaceError(String);
 
 impl std::str::FromStr for Pace {
@@ -97,27 +98,27 @@
         let factor = text
             .parse()
             .ok()
-            .filter(|pace: &f64| pace.is_finite() && *pace > 0.0);
+            .filter(|factor: &f64| factor.is_finite() && *factor > 0.0);
         let factor = factor.ok_or_else(|| PaceError(text.into()))?;
-        let (least, most) = Self::BOUNDS;
-        Ok(Self(factor.clamp(least, most)))
+        let (min, max) = Self::FACTOR_BOUNDS;
+        Ok(Self(factor.clamp(min, max)))
     }
 }
 
-/// How full a target is.
+/// The utilization of a target.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Load {
-    /// Requests that it runs.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait for it.
+    /// Requests waiting for a slot.
     pub waiting: u32,
-    /// Requests that it can run at a time.
+    /// Slots: the most requests that the target runs at a time.
     pub slots: u32,
 }
 
-/// A text that is no load.
+/// A text that is not a [`Load`].
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
-#[error("`{0}` is not a load: three numbers with commas between")]
+#[error("`{0}` is not a load: expected three numbers separated by commas")]
 pub struct Error(String);
 
 impl std::fmt::Display for Load {
@@ -130,10 +131,10 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
-        let fault = || Error(text.into());
+        let error = || Error(text.into());
         let numbers: Result<Vec<u32>, _> = text.split(',').map(|n| n.trim().parse()).collect();
-        let [running, waiting, slots] = numbers.map_err(|_| fault())?[..] else {
-            return Err(fault());
+        let [running, waiting, slots] = numbers.map_err(|_| error())?[..] else {
+            return Err(error());
         };
         Ok(Self {
             running,
--- a/src/protocol/hop.rs
+++ b/src/protocol/hop.rs
@@ -1,16 +1,16 @@
-//! What two nodes say to each other of a request, in one header each way.
+//! The header that two nodes exchange for a request: one on the request, one on the response.
 //!
-//! A header with a name for each value was half of what a lookup sent between failure
-//! domains, and those bytes are paid for. Values stand in a fixed order with
-//! semicolons between:
+//! All values share one header, in a fixed order and separated by semicolons. With a
+//! named header for each value, the headers were half of the bytes that a lookup sent
+//! between failure domains, where traffic is billed.
 //!
 //! ```
 //! use rilltrack::protocol::hop::{Ask, Told};
 //!
-//! let ask: Ask = "n-7;ledger;1;300;1200;2500;340;0;4;1".parse()?;
-//! assert_eq!((ask.to.as_str(), ask.usual.unwrap().as_millis()), ("n-7", 340));
-//! let told: Told = "not-run;0;83/152;12,3,12;0.85;;250;target is full".parse()?;
-//! assert_eq!((told.version, told.reason.as_str()), (83, "target is full"));
+//! let request: Ask = "n-7;ledger;1;300;1200;2500;340;0;4;1".parse()?;
+//! assert_eq!((request.to.as_str(), request.usual.unwrap().as_millis()), ("n-7", 340));
+//! let response: Told = "not-run;0;83/152;12,3,12;0.85;;250;target is full".parse()?;
+//! assert_eq!((response.version, response.reason.as_str()), (83, "target is full"));
 //! # Ok::<(), rilltrack::protocol::hop::Error>(())
 //! ```
 
@@ -25,59 +25,59 @@
     unit::Span,
 };
 
-/// The header. None of a caller's or target's gets past a node.
+/// The name of the header. Nodes remove it from messages of callers and targets.
 pub const HEADER: &str = "rilltrack-hop";
 
-/// What a node asks of another.
+/// The header's value on a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Ask {
-    /// The node that is meant: an address may be taken over by another.
+    /// The receiving node. Its address may have been taken over by another node.
     pub to: Node,
-    /// The service whose target is to run the request.
+    /// The service whose target runs the request.
     pub service: Name,
-    /// The rank of the request where room is short; 0 goes first.
+    /// The priority of the request under overload; 0 is the highest.
     pub priority: u8,
-    /// How long the request may wait for room at the target.
+    /// The maximum wait for a slot at the target.
     pub patience: Span,
-    /// How long until it should be answered; nothing if it is late.
+    /// The time left until the deadline of the objective; zero if it has passed.
     pub due: Span,
-    /// How long is left for it as a whole.
+    /// The time left until the request's deadline.
     pub deadline: Span,
-    /// How long targets usually run such requests, as far as the sender knows.
+    /// The usual run time of such requests at targets, if the sender knows it.
     pub usual: Option<Span>,
-    /// How large the answer usually is, in bytes, if it is a large one; else 0.
+    /// The usual size of the response in bytes if it is large; otherwise 0.
     pub answer: usize,
-    /// How many of 1,000 answers on its route the sender sees to be bad, of the release
-    /// that serves.
+    /// Bad responses per 1,000 that the sender observed on the request's route from the
+    /// serving release.
     pub faults: u16,
-    /// Whether a target has seen it before.
+    /// Whether a target has already seen the request.
     pub is_again: bool,
 }
 
-/// What a node tells with an answer or a refusal.
+/// The header's value on a response or a refusal.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Told {
-    /// What became of the request.
+    /// Whether the request ran.
     pub outcome: Outcome,
-    /// Whether the target itself has seen it.
+    /// Whether the request reached the target itself.
     pub arrived: bool,
-    /// The version of the routes in force at the node.
+    /// The version of the routes in force at the responding node.
     pub version: u64,
-    /// The offset up to which it knows the members.
+    /// The offset up to which the responding node knows the members.
     pub members: u64,
-    /// How full its target is.
+    /// The utilization of the node's target.
     pub load: Load,
-    /// How long its target takes.
+    /// The slowdown of the node's target.
     pub pace: Pace,
-    /// How long the target ran the request, if it did.
+    /// The run time of the request at the target, if it ran.
     pub ran: Option<Span>,
-    /// When to come back, if that may help.
+    /// The time after which a retry may succeed, if any.
     pub retry_after: Option<Span>,
-    /// Why it refused; empty if it did not.
+    /// The reason of a refusal; empty for any other response.
     pub reason: String,
 }
 
-/// A text that is not one of the two.
+/// A header value that can't be parsed.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("`{text}` is not {what}")]
 pub struct Error {
@@ -88,13 +88,14 @@
 impl fmt::Display for Ask {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self { to, service, .. } = self;
-        let [patience, due, left] = [self.patience, self.due, self.deadline].map(Span::as_millis);
+        let [patience, due, deadline] =
+            [self.patience, self.due, self.deadline].map(Span::as_millis);
         write!(
             f,
-            "{to};{service};{};{patience};{due};{left};",
+            "{to};{service};{};{patience};{due};{deadline};",
             self.priority
         )?;
-        write_span(f, self.usual)?;
+        write_millis(f, self.usual)?;
         write!(
             f,
             ";{};{};{}",
@@ -109,8 +110,8 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
-        let fault = || Error {
-            what: "what a node asks",
+        let error = || Error {
+            what: "the hop header of a request",
             text: text.into(),
         };
         let fields: Vec<&str> = text.split(';').collect();
@@ -127,20 +128,20 @@
             is_again,
         ] = fields[..]
         else {
-            return Err(fault());
+            return Err(error());
         };
-        let span = |text| parse_span(text).flatten().ok_or_else(fault);
+        let span = |text| parse_millis(text).flatten().ok_or_else(error);
         Ok(Self {
-            to: to.parse().map_err(|_| fault())?,
-            service: service.parse().map_err(|_| fault())?,
-            priority: priority.parse().map_err(|_| fault())?,
+            to: to.parse().map_err(|_| error())?,
+            service: service.parse().map_err(|_| error())?,
+            priority: priority.parse().map_err(|_| error())?,
             patience: span(patience)?,
             due: span(due)?,
             deadline: span(deadline)?,
-            usual: parse_span(usual).ok_or_else(fault)?,
-            answer: answer.parse().map_err(|_| fault())?,
-            faults: faults.parse().map_err(|_| fault())?,
-            is_again: parse_flag(is_again).ok_or_else(fault)?,
+            usual: parse_millis(usual).ok_or_else(error)?,
+            answer: answer.parse().map_err(|_| error())?,
+            faults: faults.parse().map_err(|_| error())?,
+            is_again: parse_flag(is_again).ok_or_else(error)?,
         })
     }
 }
@@ -157,9 +158,9 @@
         } = self;
         let arrived = u8::from(self.arrived);
         write!(f, "{outcome};{arrived};{version}/{members};{load};{pace};")?;
-        write_span(f, self.ran)?;
+        write_millis(f, self.ran)?;
         f.write_str(";")?;
-        write_span(f, self.retry_after)?;
+        write_millis(f, self.retry_after)?;
         write!(f, ";{}", self.reason)
     }
 }
@@ -168,39 +169,49 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
-        let fault = || Error {
-            what: "what a node tells",
+        let error = || Error {
+            what: "the hop header of a response",
             text: text.into(),
         };
-        // A reason may hold anything.
+        // The reason comes last and may contain semicolons.
         let fields: Vec<&str> = text.splitn(8, ';').collect();
-        let [outcome, arrived, seen, load, pace, ran, retry_after, reason] = fields[..] else {
-            return Err(fault());
+        let [
+            outcome,
+            arrived,
+            progress,
+            load,
+            pace,
+            ran,
+            retry_after,
+            reason,
+        ] = fields[..]
+        else {
+            return Err(error());
         };
-        let (version, members) = seen.split_once('/').ok_or_else(fault)?;
+        let (version, members) = progress.split_once('/').ok_or_else(error)?;
         Ok(Self {
-            outcome: outcome.parse().map_err(|_| fault())?,
-            arrived: parse_flag(arrived).ok_or_else(fault)?,
-            version: version.parse().map_err(|_| fault())?,
-            members: members.parse().map_err(|_| fault())?,
-            load: load.parse().map_err(|_| fault())?,
-            pace: pace.parse().map_err(|_| fault())?,
-            ran: parse_span(ran).ok_or_else(fault)?,
-            retry_after: parse_span(retry_after).ok_or_else(fault)?,
+            outcome: outcome.parse().map_err(|_| error())?,
+            arrived: parse_flag(arrived).ok_or_else(error)?,
+            version: version.parse().map_err(|_| error())?,
+            members: members.parse().map_err(|_| error())?,
+            load: load.parse().map_err(|_| error())?,
+            pace: pace.parse().map_err(|_| error())?,
+            ran: parse_millis(ran).ok_or_else(error)?,
+            retry_after: parse_millis(retry_after).ok_or_else(error)?,
             reason: reason.into(),
         })
     }
 }
 
-fn write_span(f: &mut fmt::Formatter<'_>, span: Option<Span>) -> fmt::Result {
+fn write_millis(f: &mut fmt::Formatter<'_>, span: Option<Span>) -> fmt::Result {
     match span {
         Some(span) => write!(f, "{}", span.as_millis()),
         None => Ok(()),
     }
 }
 
-/// Returns milliseconds, or nothing where there are none; `None` if it is neither.
-fn parse_span(text: &str) -> Option<Option<Span>> {
+/// Parses milliseconds. Returns `Some(None)` for an empty text and `None` for an invalid one.
+fn parse_millis(text: &str) -> Option<Option<Span>> {
     if text.is_empty() {
         return Some(None);
     }
--- a/src/protocol/log.rs
+++ b/src/protocol/log.rs
@@ -1,4 +1,4 @@
-//! The platform's log as rilltrack uses it; see docs/LOG.md.
+//! Records of the platform's log, and snapshots in it; see docs/LOG.md.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -8,11 +8,11 @@
 /// Records read from a stream.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Batch {
-    /// The oldest offset that the log still keeps.
+    /// The oldest offset that the log still has.
     pub first: u64,
     /// The offset that the next append gets.
     pub next: u64,
-    /// The records from the offset asked for on.
+    /// The records from the requested offset on.
     pub records: Vec<Bytes>,
 }
 
@@ -25,20 +25,20 @@
 
 /// One part of a snapshot in the snapshot stream.
 ///
-/// A snapshot is complete once all parts of one writer and version are there,
-/// in order; anything else is passed over. Two writers at once therefore do no
-/// harm, nor does one that dies midway.
+/// A snapshot is complete once all parts of one write have been read in order. Readers
+/// ignore incomplete snapshots, so concurrent writers and a writer that dies midway do
+/// no harm.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Part {
-    /// Tells one writing from any other.
+    /// The id of the write, which all parts of one snapshot share.
     pub writing: u64,
     /// The version of the snapshot.
     pub version: Version,
-    /// The number of this part, from 0.
+    /// The index of this part, from 0.
     pub index: u32,
     /// The number of parts.
     pub count: u32,
-    /// The bytes.
+    /// The bytes of this part.
     pub bytes: Bytes,
 }
 
@@ -59,21 +59,22 @@
     (0..count).map(part).collect()
 }
 
-/// Puts snapshots together from parts as they are read.
+/// Assembles snapshots from parts in the order of reading.
 #[derive(Debug, Default)]
 pub struct Assembly {
-    open: std::collections::HashMap<u64, Vec<Part>>,
+    incomplete: std::collections::HashMap<u64, Vec<Part>>,
     newest: Option<(Version, Bytes)>,
 }
 
 impl Assembly {
-    /// Takes the next part of the stream.
+    /// Adds the next part of the stream.
     pub fn add(&mut self, part: Part) {
         let writing = part.writing;
-        let parts = self.open.entry(writing).or_default();
+        let parts = self.incomplete.entry(writing).or_default();
         if part.index as usize != parts.len() {
-            // A part is missing (expired, or never written): never complete.
-            self.open.remove(&writing);
+            // An earlier part has expired or was never written, so the snapshot can't
+            // become complete.
+            self.incomplete.remove(&writing);
             return;
         }
         let count = part.count as usize;
@@ -84,11 +85,15 @@
     }
 
     fn complete(&mut self, writing: u64) {
-        let Some(parts) = self.open.remove(&writing) else {
+        let Some(parts) = self.incomplete.remove(&writing) else {
             return;
         };
         let version = parts[0].version;
-        if self.newest.as_ref().is_none_or(|(held, _)| *held < version) {
+        if self
+            .newest
+            .as_ref()
+            .is_none_or(|(newest, _)| *newest < version)
+        {
             let bytes: Vec<u8> = parts
                 .iter()
                 .flat_map(|part| part.bytes.iter().copied())
@@ -97,7 +102,7 @@
         }
     }
 
-    /// Returns the newest complete snapshot seen.
+    /// Returns the complete snapshot of the highest version.
     pub fn into_newest(self) -> Option<(Version, Bytes)> {
         self.newest
     }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,12 +1,14 @@
-//! Protocol: what processes say to each other, as typed messages.
+//! Typed messages that processes exchange.
 //!
-//! * [`wire`]: between nodes;
-//! * [`log`]: with the platform's log;
-//! * [`news`]: between host processes;
+//! * [`wire`]: requests and replies between nodes, as MessagePack;
+//! * [`log`]: records of the platform's log;
+//! * [`news`]: updates of the store's streams, between host processes;
+//! * [`hop`]: the request and response header between two nodes;
 //! * [`answer`]: the headers and outcomes that callers see;
-//! * [`operator`]: with the command-line tool;
-//! * [`announce`]: with targets;
-//! * [`dialect`]: the headers of a relay, whatever the platform calls them.
+//! * [`operator`]: messages of the command-line tool;
+//! * [`rollout`]: orders for roll-outs and their status;
+//! * [`announce`]: messages of targets to their node;
+//! * [`dialect`]: the headers of callers and targets, whose names depend on the platform.
 
 pub mod announce;
 pub mod answer;
@@ -18,7 +20,7 @@
 pub mod rollout;
 pub mod wire;
 
-/// An error of this layer: bytes that are not the expected message.
+/// A message that can't be decoded.
 #[derive(Debug, thiserror::Error)]
 #[error("cannot decode {what}")]
 pub struct Error {
@@ -28,7 +30,7 @@
 }
 
 impl Error {
-    /// Returns an error for `what`, caused by `source`.
+    /// Returns an error for a message of kind `what`, caused by `source`.
     pub fn new(
         what: &'static str,
         source: impl Into<Box<dyn std::error::Error + Send + Sync>>,
--- a/src/protocol/news.rs
+++ b/src/protocol/news.rs
@@ -1,4 +1,4 @@
-//! What host processes tell each other of the store's streams.
+//! Updates of the store's streams that host processes forward to each other.
 
 use std::net::SocketAddr;
 
@@ -7,35 +7,35 @@
 
 use crate::state::{rollout::Rollout, routing::Delta};
 
-/// Records of a stream, told on by the node that read them.
+/// Records of a stream, forwarded by the node that read them from the store.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct News {
     /// The offset of the first record.
     pub from: u64,
-    /// The offset that comes next.
+    /// The offset after the last record.
     pub next: u64,
-    /// What the records say.
+    /// The content of the records.
     pub load: Load,
-    /// Orders for roll-outs among them.
+    /// Orders for roll-outs among the records.
     #[serde(default)]
     pub rollouts: Vec<Rollout>,
-    /// Nodes that the receiver tells on.
+    /// The nodes to which the receiver forwards the records.
     pub relay: Vec<SocketAddr>,
-    /// Who read the records, to be asked by whoever missed some.
+    /// The node that read the records. A receiver that missed some requests them from it.
     pub reader: SocketAddr,
 }
 
-/// What records say.
+/// The content of records.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum Load {
-    /// A version of the routes, as it differs from the one before.
+    /// A version of the routes, as the difference from the version before it.
     Routes(Delta),
-    /// Records of members, as they are.
+    /// Records of members, unmodified.
     Members(Vec<Bytes>),
 }
 
 impl Load {
-    /// Returns the stream that the records are from.
+    /// Returns the stream to which the records belong.
     pub fn stream(&self) -> Stream {
         match self {
             Self::Routes(_) => Stream::Routes,
@@ -49,29 +49,29 @@
 pub enum Stream {
     /// The operator's versions of the routes.
     Routes,
-    /// What nodes say of themselves.
+    /// The nodes' records of themselves.
     Members,
 }
 
-/// How far a node is.
+/// A node's progress in the streams of the store.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Seen {
-    /// The version of the routes in force; 0 for none.
+    /// The version of the routes in force; 0 if there is none.
     pub version: u64,
-    /// The offset up to which it knows the members.
+    /// The offset up to which the node knows the members.
     pub members: u64,
-    /// The offset up to which it knows the routes; 0 if it does not know where its
-    /// version stands.
+    /// The offset up to which the node knows the routes; 0 if it does not know the offset
+    /// of its version.
     pub routes: u64,
-    /// How many nodes in a row, this one last, are to read the store for others and
-    /// can't; 0 if it can, or need not.
+    /// The number of consecutive nodes in the ranking of readers, up to and including this
+    /// one, that can't reach the store; 0 if this node can or is no reader.
     pub blind: u8,
 }
 
-/// The members that a node knows, and how far it follows them.
+/// The members that a node knows, and its offset in their stream.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Members<M> {
-    /// The offset up to which they are known.
+    /// The offset up to which the node knows the members.
     pub at: u64,
     /// The members.
     pub members: Vec<M>,
--- a/src/protocol/operator.rs
+++ b/src/protocol/operator.rs
@@ -1,4 +1,4 @@
-//! Messages between the command-line tool and a daemon, as JSON over HTTP.
+//! Messages between the command-line tool and a node, as JSON over HTTP.
 
 use std::net::SocketAddr;
 
@@ -19,41 +19,41 @@
     },
 };
 
-/// A request that is held back: the answer to `GET /held` of a node on the users' platform
-/// has one for each.
+/// A quarantined request. On the users' platform, the response to `GET /held` of a node
+/// lists them.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Quarantined {
-    /// What the request is.
+    /// The fingerprint of the request.
     pub content: Fingerprint,
-    /// Targets that ended under it, as far as the node knows.
+    /// Targets that crashed under the request, as far as the node knows.
     pub ends: u8,
-    /// Since when the node holds it back, in milliseconds.
+    /// How long the node has quarantined the request, in milliseconds.
     pub since_ms: u64,
 }
 
-/// The latest roll-out of a service: the answer to `GET /rollouts` of a node on the users'
-/// platform has one for each.
+/// The progress of a service's latest roll-out. On the users' platform, the response to
+/// `GET /rollouts` of a node lists one per service.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Progress {
-    /// What became of the order.
+    /// The state of the order.
     pub rollout: Rollout,
-    /// How long ago it was given, in milliseconds, as far as the node knows.
+    /// The age of the order in milliseconds, as far as the node knows.
     pub age_ms: u64,
-    /// What it waits for.
+    /// The condition that the roll-out waits for.
     pub waits_for: String,
-    /// Whether the node that answers may carry it on: it reads the store for its failure
-    /// domain.
+    /// Whether the answering node may advance the roll-out, as it reads the store for its
+    /// failure domain.
     pub decides: bool,
-    /// The nodes beside targets of the new release.
+    /// The targets of the new release.
     pub targets: Vec<Tried>,
 }
 
-/// A target of a release that is to take over.
+/// A target of the new release in a roll-out.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Tried {
-    /// The node beside it.
+    /// The node on the target's host.
     pub node: Node,
-    /// Whether it is failing; nothing if that is not known yet.
+    /// Whether the target is failing; `None` if not known yet.
     pub is_failing: Option<bool>,
 }
 
@@ -62,21 +62,21 @@
 pub struct Report {
     /// The node that answers.
     pub node: Node,
-    /// Its current life.
+    /// The current incarnation of the node.
     pub incarnation: Incarnation,
-    /// Its failure domain.
+    /// The failure domain of the node.
     pub domain: Name,
-    /// Whether it holds a complete view.
+    /// Whether the node has a complete view.
     pub ready: bool,
-    /// What it holds.
+    /// The state that the node has in force.
     pub anchor: Anchor,
-    /// The last accepted change.
+    /// The version of the last accepted change.
     pub accepted: Version,
     /// Milliseconds since the view was last known to be current.
     pub age_ms: u64,
-    /// What keeps it from following the log, if anything.
+    /// The fault that keeps the node from reading the log, if any.
     pub trouble: Option<String>,
-    /// All members it knows.
+    /// All members that the node knows.
     pub members: Vec<Row>,
 }
 
@@ -87,11 +87,11 @@
     pub node: Node,
     /// Its failure domain.
     pub domain: Name,
-    /// Whether it is there.
+    /// The status of the node.
     pub status: Status,
-    /// Where it takes frames.
+    /// The address at which the node receives frames.
     pub peers: SocketAddr,
-    /// Its targets.
+    /// The targets on the node's host.
     pub targets: Vec<Target>,
 }
 
@@ -99,32 +99,32 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Published {
-    /// The log has it and this was decided.
+    /// The change is in the log, with this outcome.
     Decided(Outcome),
-    /// Refused before it reached the log, so it will never be in force.
+    /// The change was refused before it reached the log, so it will never be in force.
     Refused(Verdict),
-    /// The log could not be reached; the change did not get there.
+    /// The log could not be reached, and the change was not appended.
     NotAccepted(String),
-    /// The append was sent and no answer came back: publishing the same
-    /// change again is safe and settles it.
+    /// The append was sent but not answered. Publishing the same change again is safe and
+    /// returns its outcome.
     Unknown(String),
 }
 
 /// The answer to `GET /census?version=…`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Convergence {
-    /// The version asked about.
+    /// The requested version.
     pub version: Version,
-    /// Who has it in force.
+    /// The number of nodes that have the version in force.
     pub census: Census,
-    /// Some of the nodes that have not, by name.
+    /// The names of some nodes that don't have the version in force.
     pub lagging: Vec<Node>,
 }
 
 /// The answer to `GET /resources`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Resources {
-    /// The state they are of.
+    /// The state that the resources belong to.
     pub anchor: Anchor,
     /// The resources.
     pub held: Vec<Held>,
@@ -133,14 +133,14 @@
 /// The answer to `GET /history`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct History {
-    /// Outcomes still remembered, newest first.
+    /// The outcomes that the node still keeps, newest first.
     pub outcomes: Vec<Outcome>,
 }
 
-/// The body of `POST /explain`: a request that is not sent.
+/// The body of `POST /explain`: a hypothetical request, which is not sent.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Question {
-    /// The `Host`, if any.
+    /// The `Host` header, if any.
     pub host: Option<String>,
     /// The path.
     pub path: String,
@@ -151,42 +151,42 @@
 /// The answer to [`Question`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Explanation {
-    /// The version that was asked.
+    /// The configuration version used.
     pub version: Version,
-    /// The route and service that match, if any.
+    /// The matching route and its service, if any.
     pub route: Option<(Name, Name)>,
-    /// Why each target of the service would or would not be used.
+    /// The targets of the service, each with the reason why it would be used or not.
     pub targets: Vec<Judgement>,
 }
 
 /// One target in an [`Explanation`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Judgement {
-    /// The node beside the target.
+    /// The node on the target's host.
     pub node: Node,
     /// Its failure domain.
     pub domain: Name,
-    /// Whether a request may go there now.
+    /// Whether the target may get the request now.
     pub allowed: bool,
-    /// Why, or why not.
+    /// The reason.
     pub why: String,
 }
 
 /// The body of `POST /drain`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Drain {
-    /// The service whose target on this host is to leave; all if absent.
+    /// The service whose target on this host is drained; all targets if absent.
     pub service: Option<Name>,
 }
 
-/// The labels and problems of a dry run, for `POST /check`.
+/// The answer to `POST /check`, a dry run of a change.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Checked {
-    /// What is wrong; empty if the change would be accepted now.
+    /// The problems of the change; empty if it would be accepted now.
     pub problems: Vec<Problem>,
 }
 
-/// A change as the tool makes it, before it is sent.
+/// Returns a change of the command-line tool, ready to be sent.
 pub fn change(
     id: id::Change,
     base: Anchor,
@@ -205,13 +205,13 @@
     }
 }
 
-/// Labels written on a command line as `key=value`.
+/// Parses a label of the form `key=value`; returns `None` if the key is missing.
 pub fn label(text: &str) -> Option<(String, String)> {
     let (key, value) = text.split_once('=')?;
     (!key.is_empty()).then(|| (key.to_owned(), value.to_owned()))
 }
 
-/// Returns the labels in `texts`.
+/// Parses labels of the form `key=value`.
 ///
 /// # Errors
 ///
--- a/src/protocol/wire.rs
+++ b/src/protocol/wire.rs
@@ -1,7 +1,7 @@
 //! Messages between nodes, as MessagePack over HTTP.
 //!
-//! One request, a [`Frame`], gets one [`Reply`]. Fields are sent by position,
-//! so a field may only be added together with a new [`PATH`].
+//! Each request, a [`Frame`], gets one [`Reply`]. Fields are encoded by position, so
+//! adding a field requires a new [`PATH`].
 
 use std::net::SocketAddr;
 
@@ -15,90 +15,91 @@
     unit::Span,
 };
 
-/// Where nodes take frames; the number is the version of this protocol.
+/// The path at which nodes receive frames; it ends in the version of this protocol.
 pub const PATH: &str = "/peer/v1";
 
-/// The largest frame a node takes.
+/// The largest frame that a node accepts, in bytes.
 pub const MAX_FRAME: usize = 16 << 20;
 
-/// Bytes from which a reply is large, and needs leave to be sent.
+/// The size in bytes from which a reply counts as large and needs a permit to be sent.
 pub const LARGE: usize = 32 << 10;
 
-/// Laggards named in one [`Census`]; beyond it they are only counted.
+/// The most nodes named in one [`Census`]; further nodes are only counted.
 pub const MAX_NAMED: usize = 16;
 
-/// What one node asks of another.
+/// A request of one node to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Are you there? With news.
+    /// A liveness probe, with the sender's updates.
     Ping(News),
-    /// Is this third node there? I can't reach it.
+    /// An indirect probe: the receiver pings this third node, which the sender can't reach.
     PingFor(SocketAddr),
-    /// My table of members, by one mark per bucket.
+    /// The sender's table of members, as one digest per bucket.
     Sync(Vec<u32>),
-    /// Members you may lack.
+    /// Members that the receiver may not know.
     Tell(Vec<Member>),
-    /// The configuration from this version on.
+    /// A request for the configuration records after this version.
     Fetch(Version),
-    /// Take this, pass it on to the nodes of the slice and answer for all.
+    /// A message that the receiver applies, forwards to the nodes of its slice and answers
+    /// for all of them.
     Scatter(Scatter),
 }
 
-/// What every ping and its reply carry.
+/// The content of a ping and of its reply.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct News {
-    /// Who sends it.
+    /// The sender.
     pub node: Node,
-    /// Where the sender takes frames.
+    /// The address at which the sender receives frames.
     pub peers: SocketAddr,
-    /// The configuration it has in force.
+    /// The configuration version in force at the sender.
     pub version: Version,
-    /// Members that changed lately.
+    /// Members that changed recently.
     pub members: Vec<Member>,
 }
 
-/// A message for many nodes, passed down a tree that the sender lays out.
+/// A message for many nodes, forwarded down a tree.
 ///
-/// The slice is split by whoever receives it, so no node needs to agree with
-/// another on who is in the tree, and a sender whose child does not answer
-/// gives that child's slice to the next node in it.
+/// Each receiver splits its slice among its children, so nodes need not agree on the
+/// members of the tree. If a child does not answer, its parent gives the child's slice
+/// to the next node in that slice.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Scatter {
-    /// The node that passes it on, to be asked for what is missing.
+    /// The forwarding node, from which the receiver requests missing records.
     pub from: SocketAddr,
-    /// What is spread.
+    /// The content.
     pub load: Load,
-    /// The nodes the receiver answers for, besides itself.
+    /// The nodes, besides itself, for which the receiver answers.
     pub slice: Vec<SocketAddr>,
 }
 
-/// What a [`Scatter`] spreads.
+/// The content of a [`Scatter`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Load {
-    /// Records of the configuration stream, the first at `from`.
+    /// Records of the configuration stream that follow the version `from`.
     Records {
-        /// The version they continue.
+        /// The version before the first record.
         from: Version,
         /// The records.
         records: Vec<Bytes>,
     },
-    /// Nothing new: just count who has `version` in force.
+    /// No records: the receivers only count the nodes that have `version` in force.
     Count {
-        /// The version asked for.
+        /// The version that is counted.
         version: Version,
     },
 }
 
-/// How many nodes have a version in force.
+/// The number of nodes that have a version in force.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Census {
-    /// Nodes that have it.
+    /// Nodes that have the version in force.
     pub current: u32,
-    /// Nodes that answered and don't have it yet.
+    /// Nodes that answered and don't have the version yet.
     pub behind: u32,
     /// Nodes that did not answer.
     pub silent: u32,
-    /// Some of the nodes behind or silent.
+    /// Some of the nodes counted in `behind` or `silent`, at most [`MAX_NAMED`].
     pub named: Vec<SocketAddr>,
 }
 
@@ -108,18 +109,18 @@
         self.current += other.current;
         self.behind += other.behind;
         self.silent += other.silent;
-        let room = MAX_NAMED.saturating_sub(self.named.len());
-        self.named.extend(other.named.into_iter().take(room));
+        let remaining = MAX_NAMED.saturating_sub(self.named.len());
+        self.named.extend(other.named.into_iter().take(remaining));
     }
 
-    /// Adds one node that is not current.
+    /// Adds the address of a node that is not current, up to [`MAX_NAMED`].
     pub fn name(&mut self, node: SocketAddr) {
         if self.named.len() < MAX_NAMED {
             self.named.push(node);
         }
     }
 
-    /// Returns whether every node counted has the version in force.
+    /// Returns whether all counted nodes have the version in force.
     pub fn is_complete(&self) -> bool {
         self.behind == 0 && self.silent == 0
     }
@@ -128,44 +129,45 @@
 /// The answer to a [`Frame`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
-    /// To [`Frame::Ping`]; also a ping's news from the other side.
+    /// To [`Frame::Ping`]: the answering node's updates.
     Pong(News),
-    /// To [`Frame::PingFor`]: whether the third node answered.
+    /// To [`Frame::PingFor`]: whether the third node answered the ping.
     Reached(bool),
-    /// To [`Frame::Sync`]: the marks here and the members that differ.
+    /// To [`Frame::Sync`]: the answering node's digests, and its members in the buckets
+    /// that differ.
     Members {
-        /// The marks of the answering node.
+        /// The answering node's digests, one per bucket.
         marks: Vec<u32>,
-        /// Its members in the buckets that differ.
+        /// The answering node's members in the buckets that differ.
         members: Vec<Member>,
     },
-    /// To [`Frame::Tell`].
+    /// To [`Frame::Tell`]: an acknowledgement.
     Done,
-    /// To [`Frame::Fetch`]: the records that continue the version asked for.
+    /// To [`Frame::Fetch`]: the records that follow the requested version.
     Records(Vec<Bytes>),
-    /// To [`Frame::Fetch`]: the whole, because the records are gone.
+    /// To [`Frame::Fetch`]: the whole configuration, as the records are no longer kept.
     Snapshot(Bytes),
-    /// To [`Frame::Fetch`]: nothing newer here.
+    /// To [`Frame::Fetch`]: the answering node has no newer version.
     Current,
-    /// To any frame: too busy, or nothing complete to give yet; come back
-    /// after this span.
+    /// To any frame: the node is overloaded or its view is not complete yet; retry after
+    /// this time.
     Later(Span),
-    /// To [`Frame::Scatter`].
+    /// To [`Frame::Scatter`]: the count over the receiver and its slice.
     Counted(Census),
 }
 
 /// Returns the encoded message.
 pub fn encode<T: Serialize>(message: &T) -> Bytes {
     rmp_serde::to_vec(message)
-        .expect("plain data always encodes")
+        .expect("messages contain only serializable data")
         .into()
 }
 
-/// Returns the message in `bytes`.
+/// Returns the message encoded in `bytes`.
 ///
 /// # Errors
 ///
-/// If they hold no such message.
+/// If `bytes` is not an encoded `T`.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Error> {
     rmp_serde::from_slice(bytes).map_err(|source| Error::new("peer message", source))
 }
