--- a/src/host/metrics.rs
+++ b/src/host/metrics.rs
@@ -17,11 +17,11 @@
     registry::Registry,
 };
 
-/// The shortest latency that is told apart, in seconds; each bucket doubles it.
-const SHORTEST: f64 = 0.001;
+/// The upper bound of the first bucket, in seconds; each further bucket doubles it.
+const FIRST_BUCKET_SECONDS: f64 = 0.001;
 
-/// Buckets: up to 16 s, beyond every deadline of both meshes.
-const BUCKETS: u16 = 15;
+/// The number of buckets. The last ends at 16 s, beyond every deadline of both meshes.
+const BUCKET_COUNT: u16 = 15;
 
 /// The metrics of one host process.
 #[derive(Debug)]
@@ -29,24 +29,25 @@
     registry: Mutex<Registry>,
     /// Requests by route, outcome and reason.
     pub requests: Family<Request, Counter<u64, AtomicU64>>,
-    /// Seconds from a request's arrival to its answer, by outcome.
+    /// Seconds from a request's arrival to its response, by outcome.
     pub latency: Family<Outcome, Histogram, fn() -> Histogram>,
-    /// Tries at a target by how they ended.
+    /// Attempts at targets, by service and result.
     pub tries: Family<Try, Counter<u64, AtomicU64>>,
-    /// Further sends that were refused for want of allowance, by service.
+    /// Retries that were refused because the retry budget was used up, by service.
     pub unallowed: Family<Service, Counter<u64, AtomicU64>>,
     /// Calls to the store by kind and result.
     pub store: Family<Call, Counter<u64, AtomicU64>>,
-    /// Seconds that calls to the store took, without their wait.
+    /// Seconds that calls to the store took, without calls that may wait at the store for new
+    /// records.
     pub store_latency: Histogram,
-    /// What came from outside and can't be used, by what it was to be.
+    /// Invalid input from outside, by kind.
     pub unusable: Family<Unusable, Counter<u64, AtomicU64>>,
-    /// Members known, by whether they answered when last checked.
+    /// Known members, by whether they answered the last check.
     pub members: Family<State, Gauge<i64, AtomicI64>>,
     gauges: Gauges,
 }
 
-/// What is read when metrics are asked for.
+/// Gauges that are set when metrics are collected.
 #[derive(Clone, Debug, Default)]
 struct Gauges {
     version: Gauge<i64, AtomicI64>,
@@ -54,65 +55,65 @@
     running: Gauge<i64, AtomicI64>,
     waiting: Gauge<i64, AtomicI64>,
     slots: Gauge<i64, AtomicI64>,
-    reading: Gauge<i64, AtomicI64>,
-    held: Gauge<i64, AtomicI64>,
-    lines_lost: Gauge<i64, AtomicI64>,
+    is_reader: Gauge<i64, AtomicI64>,
+    quarantined: Gauge<i64, AtomicI64>,
+    dropped_lines: Gauge<i64, AtomicI64>,
 }
 
-/// The state of a process at the moment that metrics are asked for.
+/// The state of a process when metrics are collected.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Now {
     /// The version of the routes in force.
     pub version: u64,
-    /// How long it has been in force.
+    /// How long that version has been in force.
     pub version_age: Duration,
-    /// How full the target here is.
+    /// The utilization of the target on this host.
     pub load: crate::protocol::dialect::Load,
     /// Whether the node reads the store for its failure domain.
     pub reading: bool,
-    /// Log lines passed over.
+    /// Log lines that were dropped.
     pub lines_lost: u64,
-    /// Members that answer, and those that did not when last checked.
+    /// The numbers of members that answered the last check, and that did not.
     pub members: (usize, usize),
-    /// Requests that are held back because targets ended under them.
+    /// Quarantined requests, under which targets crashed.
     pub held: usize,
 }
 
-/// A request by what became of it.
+/// The labels of [`Metrics::requests`].
 #[derive(Clone, Debug, Eq, Hash, PartialEq, EncodeLabelSet)]
 pub struct Request {
     /// The route; empty if none matched.
     pub route: String,
-    /// Whether it ran.
+    /// The outcome: whether the request ran.
     pub outcome: String,
-    /// Why it was refused; empty if it was not.
+    /// The reason of a refusal; empty for any other response.
     pub reason: String,
 }
 
-/// What became of a request.
+/// The labels of [`Metrics::latency`].
 #[derive(Clone, Debug, Eq, Hash, PartialEq, EncodeLabelSet)]
 pub struct Outcome {
-    /// Whether it ran.
+    /// The outcome: whether the request ran.
     pub outcome: String,
 }
 
-/// How a try at a target ended.
+/// The labels of [`Metrics::tries`].
 #[derive(Clone, Debug, Eq, Hash, PartialEq, EncodeLabelSet)]
 pub struct Try {
     /// The service.
     pub service: String,
-    /// How it ended.
+    /// The result of the attempt.
     pub end: &'static str,
 }
 
-/// A service.
+/// The labels of [`Metrics::unallowed`].
 #[derive(Clone, Debug, Eq, Hash, PartialEq, EncodeLabelSet)]
 pub struct Service {
-    /// Its name.
+    /// The service.
     pub service: String,
 }
 
-/// A call to the store.
+/// The labels of [`Metrics::store`].
 #[derive(Clone, Debug, Eq, Hash, PartialEq, EncodeLabelSet)]
 pub struct Call {
     /// `newest`, `tail` or `put`.
@@ -121,14 +122,14 @@
     pub result: &'static str,
 }
 
-/// What came from outside and can't be used.
+/// The labels of [`Metrics::unusable`].
 #[derive(Clone, Debug, Eq, Hash, PartialEq, EncodeLabelSet)]
 pub struct Unusable {
     /// `version`, `member`, `heartbeat` or `news`.
     pub what: &'static str,
 }
 
-/// Whether members answer.
+/// The labels of [`Metrics::members`].
 #[derive(Clone, Debug, Eq, Hash, PartialEq, EncodeLabelSet)]
 pub struct State {
     /// `present` or `silent`.
@@ -142,11 +143,11 @@
 }
 
 fn histogram() -> Histogram {
-    Histogram::new(exponential_buckets(SHORTEST, 2.0, BUCKETS))
+    Histogram::new(exponential_buckets(FIRST_BUCKET_SECONDS, 2.0, BUCKET_COUNT))
 }
 
 impl Metrics {
-    /// Returns metrics that all stand at zero.
+    /// Returns metrics with all values at zero.
     pub fn new() -> Self {
         let metrics = Self {
             registry: Mutex::new(Registry::with_prefix("rilltrack")),
@@ -165,90 +166,90 @@
     }
 
     fn register(&self) {
-        let mut registry = self.registry.lock();
-        let r = &mut *registry;
-        r.register(
+        let mut guard = self.registry.lock();
+        let registry = &mut *guard;
+        registry.register(
             "requests",
             "Requests by what became of them",
             self.requests.clone(),
         );
-        r.register("latency_seconds", "Arrival to answer", self.latency.clone());
-        r.register(
+        registry.register("latency_seconds", "Arrival to answer", self.latency.clone());
+        registry.register(
             "tries",
             "Tries at a target by how they ended",
             self.tries.clone(),
         );
-        r.register(
+        registry.register(
             "unallowed",
             "Further sends refused for want of allowance",
             self.unallowed.clone(),
         );
-        r.register("store_calls", "Calls to the store", self.store.clone());
-        r.register(
+        registry.register("store_calls", "Calls to the store", self.store.clone());
+        registry.register(
             "store_seconds",
             "Time of calls to the store, without their wait",
             self.store_latency.clone(),
         );
-        r.register(
+        registry.register(
             "unusable",
             "Records, heartbeats and news that can't be used",
             self.unusable.clone(),
         );
-        r.register("members", "Members known", self.members.clone());
-        let g = &self.gauges;
-        r.register(
+        registry.register("members", "Members known", self.members.clone());
+        let gauges = &self.gauges;
+        registry.register(
             "version",
             "Version of the routes in force",
-            g.version.clone(),
+            gauges.version.clone(),
         );
-        r.register(
+        registry.register(
             "version_age_seconds",
             "How long it has been in force",
-            g.version_age.clone(),
+            gauges.version_age.clone(),
         );
-        r.register(
+        registry.register(
             "gate_running",
             "Requests at the target here",
-            g.running.clone(),
+            gauges.running.clone(),
         );
-        r.register(
+        registry.register(
             "gate_waiting",
             "Requests that wait for the target here",
-            g.waiting.clone(),
+            gauges.waiting.clone(),
         );
-        r.register(
+        registry.register(
             "gate_slots",
             "Requests that the target here runs at a time",
-            g.slots.clone(),
+            gauges.slots.clone(),
         );
-        r.register(
+        registry.register(
             "reading",
             "Whether the node reads the store for its failure domain",
-            g.reading.clone(),
+            gauges.is_reader.clone(),
         );
-        r.register(
+        registry.register(
             "held_back",
             "Requests that are held back because targets ended under them",
-            g.held.clone(),
+            gauges.quarantined.clone(),
         );
-        r.register(
+        registry.register(
             "log_lines_lost",
             "Log lines passed over",
-            g.lines_lost.clone(),
+            gauges.dropped_lines.clone(),
         );
     }
 
     /// Returns the metrics in the OpenMetrics text format.
     pub fn text(&self, now: &Now) -> String {
-        let g = &self.gauges;
-        g.version.set(now.version as i64);
-        g.version_age.set(now.version_age.as_secs() as i64);
-        g.running.set(i64::from(now.load.running));
-        g.waiting.set(i64::from(now.load.waiting));
-        g.slots.set(i64::from(now.load.slots));
-        g.reading.set(i64::from(now.reading));
-        g.held.set(now.held as i64);
-        g.lines_lost.set(now.lines_lost as i64);
+        let gauges = &self.gauges;
+        gauges.version.set(now.version as i64);
+        gauges.version_age.set(now.version_age.as_secs() as i64);
+        gauges.running.set(i64::from(now.load.running));
+        gauges.waiting.set(i64::from(now.load.waiting));
+        gauges.slots.set(i64::from(now.load.slots));
+        gauges.is_reader.set(i64::from(now.reading));
+        gauges.quarantined.set(now.held as i64);
+        gauges.dropped_lines.set(now.lines_lost as i64);
         let (present, silent) = now.members;
         for (state, count) in [("present", present), ("silent", silent)] {
             self.members
@@ -256,7 +257,7 @@
                 .set(count as i64);
         }
         let mut text = String::new();
-        encode(&mut text, &self.registry.lock()).expect("a String takes all text");
+        encode(&mut text, &self.registry.lock()).expect("writing to a String can't fail");
         text
     }
 }
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -1,9 +1,8 @@
-//! One host process: its threads, put together.
+//! A host process: its start, its threads and its stop.
 //!
-//! A host process serves a platform that has a store of its own. Versions of
-//! the routes and the members come from there, so nothing is voted on, kept or
-//! snapshotted here; what is left are the target beside the process and the
-//! requests.
+//! A host process serves a platform that has its own store. Versions of the routes and
+//! the members come from that store, so the process needs no quorum, storage or
+//! snapshots. It only manages the target on its host and routes requests.
 
 pub mod metrics;
 mod settings;
@@ -37,82 +36,83 @@
     },
 };
 
-/// How long a process that leaves still takes whoever comes: the platform asks
-/// once a second whether it is ready, and two misses end new work.
-const LEAVE: Duration = Duration::from_millis(2500);
+/// The time for which a stopping process still accepts requests. The platform checks
+/// readiness once a second and sends no new requests after two failed checks.
+const DRAIN_PERIOD: Duration = Duration::from_millis(2500);
 
-/// The last part of that, in which other nodes are turned away: several times what it
-/// takes until each that sends here has heard so. Turned away from the start, a
-/// target is missed for as long as its node leaves, though it could serve.
-const TURN_AWAY: Duration = Duration::from_millis(500);
+/// The last part of [`DRAIN_PERIOD`], in which requests of other nodes are rejected:
+/// several times what it takes until every sender has learned of it. If they were rejected
+/// from the start, the target would be unused during all of that period although it could
+/// serve.
+const REJECT_PERIOD: Duration = Duration::from_millis(500);
 
-/// What is left of the grace for the end of the process itself.
-const LAST: Duration = Duration::from_millis(400);
+/// The part of the grace period reserved for the exit of the process itself.
+const EXIT_RESERVE: Duration = Duration::from_millis(400);
 
-/// How often connections that were unused for long are closed.
-const TIDY: Duration = Duration::from_secs(2);
+/// The interval at which connections that were idle for long are closed.
+const PRUNE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Descriptors that are not connections of callers or nodes: listeners, files,
-/// and our own connections to nodes, the target and the store.
-const OWN_DESCRIPTORS: usize = 200;
+/// File descriptors reserved for uses other than connections of callers and nodes:
+/// listeners, files and connections opened to nodes, the target and the store.
+const RESERVED_DESCRIPTORS: usize = 200;
 
-/// An error that keeps a process from starting.
+/// An error on the start of a process.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// It can't listen.
+    /// An address can't be listened on.
     #[error(transparent)]
     Transport(#[from] transport::Error),
-    /// The system gives no thread or runtime.
+    /// A thread or its runtime can't be created.
     #[error("cannot start a thread")]
     Thread(#[from] std::io::Error),
 }
 
 /// A running host process.
 pub struct Process {
-    /// What its duties share.
+    /// The state shared by the threads of the process.
     pub host: Arc<host::Host>,
     phase: watch::Sender<Phase>,
-    requests: thread::JoinHandle<()>,
-    control: thread::JoinHandle<()>,
+    request_thread: thread::JoinHandle<()>,
+    control_thread: thread::JoinHandle<()>,
 }
 
 type Listeners = Vec<(std::net::TcpListener, Server)>;
 
 impl Process {
-    /// Starts a process that follows `store`. It is ready once it knows the
-    /// members and has a version of the routes in force.
+    /// Starts a process that reads `store`. It is ready once it knows the members and has a
+    /// version of the routes in force.
     ///
     /// # Errors
     ///
-    /// If an address is taken or the system gives no threads.
+    /// If an address can't be listened on, or a thread can't be created.
     pub fn start(settings: Settings, store: Store, words: Words) -> Result<Self, Error> {
         let journal = Journal::start_json(settings.node.as_str(), Box::new(std::io::stdout()));
         let host = Arc::new(host::Host::new(settings, words, journal));
-        let (phase, phase_seen) = watch::channel(Phase::Serving);
-        let (written, written_seen) = watch::channel(Written::default());
+        let (phase, phase_receiver) = watch::channel(Phase::Serving);
+        let (written, written_receiver) = watch::channel(Written::default());
         let ingress = Ingress::new(host.clone());
         let egress = Egress::new(host.clone(), ingress.clone());
-        let ask = control::ask();
+        let call_peer = control::ask();
         let listen = &host.settings.listen;
-        let requests = [
+        let request_servers = [
             (listen.callers, Whose::Callers, egress.handler()),
             (listen.inbound, Whose::Others, ingress.handler()),
         ];
-        let control = [
+        let control_servers = [
             (
                 listen.peers,
                 Whose::Others,
-                control::peers(host.clone(), ask.clone()),
+                control::peers(host.clone(), call_peer.clone()),
             ),
             (
                 listen.targets,
                 Whose::Others,
-                control::targets(host.clone(), written_seen),
+                control::targets(host.clone(), written_receiver),
             ),
             (
                 listen.ready,
                 Whose::Others,
-                control::ready(host.clone(), phase_seen.clone()),
+                control::ready(host.clone(), phase_receiver.clone()),
             ),
             (
                 listen.metrics,
@@ -120,9 +120,9 @@
                 control::metrics(host.clone()),
             ),
         ];
-        let server = servers(&host, &phase_seen);
-        let requests = bind(requests, &server)?;
-        let control = bind(control, &server)?;
+        let new_server = server_factory(&host, &phase_receiver);
+        let request_listeners = bind(request_servers, &new_server)?;
+        let control_listeners = bind(control_servers, &new_server)?;
         let settings = &host.settings;
         note!(
             host.journal,
@@ -133,27 +133,30 @@
         );
         Ok(Self {
             phase,
-            requests: duty("requests", serve_requests(requests, egress, ingress))?,
-            control: duty(
+            request_thread: spawn_thread(
+                "requests",
+                serve_requests(request_listeners, egress, ingress),
+            )?,
+            control_thread: spawn_thread(
                 "control",
-                control_all(host.clone(), store, ask, written, control),
+                run_control(host.clone(), store, call_peer, written, control_listeners),
             )?,
             host,
         })
     }
 
-    /// Takes over what of other settings can change while the process runs.
+    /// Applies those of the given settings that can change while the process runs.
     pub fn reload(&self, settings: &Settings) {
         self.host.reload(settings);
     }
 
-    /// Notes that settings could not be read again; the former stay.
+    /// Logs that new settings could not be read; the current ones stay in force.
     pub fn refuse_reload(&self, faults: &str) {
         note!(self.host.journal, Event::Reloaded, refused = faults);
     }
 
-    /// Ends the process: it says that it is not ready, still serves who comes,
-    /// then ends what is in flight, all within the grace.
+    /// Stops the process within its grace period: it reports that it is not ready, still
+    /// serves new requests for a time, then finishes those in flight.
     pub fn stop(self) {
         note!(
             self.host.journal,
@@ -161,27 +164,27 @@
             grace = self.host.settings.grace
         );
         self.phase.send_replace(Phase::Leaving);
-        let until = Instant::now() + self.host.grace().saturating_sub(LAST);
-        thread::sleep(LEAVE - TURN_AWAY);
+        let deadline = Instant::now() + self.host.grace().saturating_sub(EXIT_RESERVE);
+        thread::sleep(DRAIN_PERIOD - REJECT_PERIOD);
         self.host.leave();
-        thread::sleep(TURN_AWAY);
+        thread::sleep(REJECT_PERIOD);
         self.phase.send_replace(Phase::Closing);
-        let ended = wait_until(until, || self.requests.is_finished());
-        note!(self.host.journal, Event::Stopped, all_ended = ended);
+        let has_ended = wait_until(deadline, || self.request_thread.is_finished());
+        note!(self.host.journal, Event::Stopped, all_ended = has_ended);
         self.host.journal.stop();
-        // The duties hold nothing that lasts; they end with the process.
-        drop(self.control);
+        // The control thread holds no durable state, so it may end with the process.
+        drop(self.control_thread);
     }
 }
 
-/// Waits until `is_done`, or until a moment; returns whether it was.
+/// Waits until `is_done` or `deadline`; returns whether `is_done` came first.
 ///
-/// By the clock, not by counting steps: on a busy host each step takes longer, and a
-/// process that counted them was killed at the end of its grace.
-fn wait_until(moment: Instant, is_done: impl Fn() -> bool) -> bool {
+/// Uses the clock instead of a count of steps: on a busy host each step takes longer, and
+/// a process that counted them was killed at the end of its grace period.
+fn wait_until(deadline: Instant, is_done: impl Fn() -> bool) -> bool {
     const STEP: Duration = Duration::from_millis(20);
     while !is_done() {
-        let left = moment.saturating_duration_since(Instant::now());
+        let left = deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return false;
         }
@@ -190,12 +193,16 @@
     true
 }
 
-/// Returns what makes a server of a handler.
-fn servers(
+/// Returns a function that makes a server from a handler.
+fn server_factory(
     host: &Arc<host::Host>,
     phase: &watch::Receiver<Phase>,
 ) -> impl Fn(Whose, Handler) -> Server + use<> {
-    let most = host.settings.descriptors.saturating_sub(OWN_DESCRIPTORS) / 2;
+    let max_connections = host
+        .settings
+        .descriptors
+        .saturating_sub(RESERVED_DESCRIPTORS)
+        / 2;
     let (host, phase) = (host.clone(), phase.clone());
     move |whose, handler| {
         let host = host.clone();
@@ -204,7 +211,7 @@
             handler,
             limits: Arc::new(move || host.limits()),
             phase: phase.clone(),
-            most,
+            most: max_connections,
             open: Arc::new(AtomicUsize::new(0)),
         }
     }
@@ -220,7 +227,8 @@
     bound.collect()
 }
 
-fn duty<F>(name: &str, work: F) -> Result<thread::JoinHandle<()>, Error>
+/// Starts a thread that runs `task` on a runtime of its own.
+fn spawn_thread<F>(name: &str, task: F) -> Result<thread::JoinHandle<()>, Error>
 where
     F: Future<Output = ()> + Send + 'static,
 {
@@ -229,13 +237,13 @@
         .build()?;
     Ok(thread::Builder::new()
         .name(name.into())
-        .spawn(move || runtime.block_on(work))?)
+        .spawn(move || runtime.block_on(task))?)
 }
 
 async fn serve_requests(listeners: Listeners, egress: Arc<Egress>, ingress: Arc<Ingress>) {
     tokio::spawn(async move {
         loop {
-            tokio::time::sleep(TIDY).await;
+            tokio::time::sleep(PRUNE_INTERVAL).await;
             egress.tidy();
             egress.note_sent_again();
             ingress.tidy();
@@ -244,23 +252,24 @@
     serve_all(listeners).await;
 }
 
-/// The duty beside the requests: the store, the target, peers and checks.
-async fn control_all(
+/// Runs everything besides requests: the store's streams, the target's heartbeats, calls
+/// of peers, readiness and metrics.
+async fn run_control(
     host: Arc<host::Host>,
     store: Store,
-    ask: Ask,
+    call_peer: Ask,
     written: watch::Sender<Written>,
     listeners: Listeners,
 ) {
     for stream in [Stream::Routes, Stream::Members] {
-        let follow = source::follow(host.clone(), store.clone(), ask.clone(), stream);
-        tokio::spawn(follow);
+        let follower = source::follow(host.clone(), store.clone(), call_peer.clone(), stream);
+        tokio::spawn(follower);
     }
-    tokio::spawn(source::follow_hints(host.clone(), ask.clone()));
-    tokio::spawn(reader::keep(host.clone(), ask.clone()));
+    tokio::spawn(source::follow_hints(host.clone(), call_peer.clone()));
+    tokio::spawn(reader::keep(host.clone(), call_peer.clone()));
     tokio::spawn(review::keep(host.clone()));
     tokio::spawn(rollout::duty::keep(host.clone(), store.clone()));
-    tokio::spawn(probe::keep(host.clone(), ask));
+    tokio::spawn(probe::keep(host.clone(), call_peer));
     tokio::spawn(presence::keep_written(host, store, written));
     serve_all(listeners).await;
 }
@@ -269,7 +278,7 @@
     let servers = listeners
         .into_iter()
         .map(|(listener, server)| server.run(listener));
-    // A listener that can't be used on this thread leaves its address silent,
-    // which the platform's checks find.
+    // If a listener can't be used on this thread, its address gives no answer, which the
+    // platform's checks detect.
     drop(futures_util::future::join_all(servers).await);
 }
--- a/src/host/settings.rs
+++ b/src/host/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a host process: JSON with comments, checked as a whole.
+//! Settings of a host process: JSON with comments. All faults are reported at once.
 
 use std::{net::SocketAddr, path::Path};
 
@@ -15,58 +15,58 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The node's name, unique in the fleet.
+    /// The name of the node, unique in the fleet.
     pub node: Node,
-    /// The failure domain its host is in.
+    /// The failure domain of the host.
     pub domain: Name,
     /// The service of the target on this host.
     pub service: Name,
     /// Labels of the proxy.
     #[serde(default)]
     pub labels: Labels,
-    /// Where it listens.
+    /// The addresses on which the process listens.
     pub listen: Listen,
-    /// Where other nodes reach it, if not where it listens: behind a translation of
-    /// addresses.
+    /// The addresses at which other nodes reach the process, if they differ from `listen`
+    /// because of network address translation.
     #[serde(default)]
     pub advertise: Option<Advertise>,
-    /// The platform's store.
+    /// The address of the platform's store.
     pub store: SocketAddr,
-    /// How often a target sends a heartbeat.
+    /// The interval of a target's heartbeats.
     pub heartbeat: Span,
-    /// How long a shutdown may take, from the signal to the end.
+    /// The grace period: the most time that a shutdown may take, from the signal to the exit.
     pub grace: Span,
-    /// What the fleet may send again.
+    /// The limit on retries by the fleet.
     pub resend: Resend,
-    /// What the host's link carries, in Mbit/s; 0 if it is not known.
+    /// The bandwidth of the host's link in Mbit/s; 0 if unknown.
     #[serde(default)]
     pub bandwidth: f64,
-    /// Descriptors that the process may have open.
+    /// The most file descriptors that the process may have open.
     pub descriptors: usize,
-    /// What a new release may get before it is known to be good. Without it releases are
-    /// not told apart, and there are no roll-outs.
+    /// The limit on requests to a new release before it has proven good. Without it,
+    /// releases are not distinguished and there are no roll-outs.
     #[serde(default)]
     pub exposure: Option<Exposure>,
 }
 
-/// What a release that proves bad may have got of its service's requests.
+/// The most requests of a service that a release may get if it turns out bad.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Exposure {
-    /// The share of all requests that reach the service, from the order to the end of its
-    /// time.
+    /// The share of all requests that reach the service, from the roll-out's order to the
+    /// end of the order's duration.
     pub share: f64,
 }
 
-/// Where a host process listens. Port 0 takes a free one.
+/// The addresses on which a host process listens. Port 0 selects a free port.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// For callers on this host, and calls of the target.
+    /// For requests of callers on this host, including its target.
     pub callers: SocketAddr,
     /// For requests from other nodes.
     pub inbound: SocketAddr,
-    /// For questions from other nodes.
+    /// For control messages from other nodes.
     pub peers: SocketAddr,
     /// For heartbeats of the target on this host.
     pub targets: SocketAddr,
@@ -76,39 +76,39 @@
     pub metrics: SocketAddr,
 }
 
-/// Where other nodes reach a host process.
+/// The addresses at which other nodes reach a host process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Advertise {
-    /// With requests.
+    /// For requests.
     pub inbound: SocketAddr,
-    /// With questions.
+    /// For control messages.
     pub peers: SocketAddr,
 }
 
-/// What the fleet may send again, for each service within any window.
+/// The limit on retries by the fleet, for each service within any window.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Resend {
-    /// Further sends over requests.
+    /// The maximum ratio of retries to requests.
     pub ratio: f64,
-    /// Further sends that are free.
+    /// The number of retries allowed in addition to the ratio.
     pub slack: u32,
-    /// The window.
+    /// The length of the window.
     pub window: Span,
 }
 
-/// The fewest descriptors with which a process can work: its listeners, the
+/// The fewest file descriptors with which a process can work: for its listeners, the
 /// store, and a connection to and from each of a few dozen peers and callers.
 const MIN_DESCRIPTORS: usize = 256;
 
 impl Settings {
-    /// Returns what the host's link carries, in whole Mbit/s.
+    /// Returns the bandwidth of the host's link in whole Mbit/s; 0 if unknown.
     pub fn bandwidth(&self) -> u32 {
         self.bandwidth as u32
     }
 
-    /// Returns where other nodes reach the process.
+    /// Returns the addresses at which other nodes reach the process.
     pub fn advertised(&self) -> Advertise {
         self.advertise.unwrap_or(Advertise {
             inbound: self.listen.inbound,
@@ -120,7 +120,7 @@
     ///
     /// # Errors
     ///
-    /// Everything that is wrong with them.
+    /// All faults of the settings.
     pub fn read(path: &Path) -> Result<Self, Vec<Fault>> {
         Self::from_document(&Document::read(path).map_err(|fault| vec![fault])?)
     }
@@ -129,18 +129,18 @@
     ///
     /// # Errors
     ///
-    /// Everything that is wrong with them: first what can't be decoded, field
-    /// by field, then what contradicts.
+    /// All required fields that are missing or can't be decoded; without such, the first
+    /// fault of the whole document; without that, all values out of range.
     pub fn from_document(document: &Document) -> Result<Self, Vec<Fault>> {
-        let faults = fields_at_fault(document);
+        let faults = decode_faults(document);
         if !faults.is_empty() {
             return Err(faults);
         }
         let settings: Self = document
             .decode(&[], &document.value)
             .map_err(|fault| vec![fault])?;
-        let contradictions = settings.contradictions();
-        let faults: Vec<Fault> = contradictions
+        let range_faults = settings.range_faults();
+        let faults: Vec<Fault> = range_faults
             .into_iter()
             .map(|(path, what)| document.fault(path, what))
             .collect();
@@ -151,7 +151,7 @@
         }
     }
 
-    fn contradictions(&self) -> Vec<(&'static [&'static str], &'static str)> {
+    fn range_faults(&self) -> Vec<(&'static [&'static str], &'static str)> {
         let ratio = self.resend.ratio;
         let share = self.exposure.map_or(1.0, |exposure| exposure.share);
         let checks: [(bool, &[&str], &str); 6] = [
@@ -168,7 +168,7 @@
             (
                 self.grace.as_millis() < 1000,
                 &["grace"],
-                "must be at least 1s, or nothing in flight can end",
+                "must be at least 1s, so that requests in flight can finish",
             ),
             (
                 !(0.0..=1.0).contains(&ratio),
@@ -191,9 +191,11 @@
     }
 }
 
-/// Decodes each top-level field on its own, so that all faults are named at
-/// once and not the first alone.
-fn fields_at_fault(document: &Document) -> Vec<Fault> {
+/// Returns the faults of all required top-level fields.
+///
+/// Each field is decoded separately, so that all faults are reported and not only the
+/// first.
+fn decode_faults(document: &Document) -> Vec<Fault> {
     let Some(object) = document.value.as_object() else {
         return Vec::new();
     };
