--- a/src/state/machine.rs
+++ b/src/state/machine.rs
@@ -1,9 +1,9 @@
-//! The replicated state machine over the configuration stream.
+//! The replicated state machine that applies the configuration stream.
 //!
-//! Every node applies the same records in the same order with this same
-//! function, so all accept and reject alike and no coordinator is needed: the
-//! log's order is the only thing that has to be agreed, and the platform
-//! keeps it.
+//! Every node applies the same records in the same order with the same
+//! deterministic function, so all nodes accept and reject the same changes
+//! without a coordinator. They only have to agree on the order of the records,
+//! which the platform's log provides.
 
 use std::{
     collections::VecDeque,
@@ -24,18 +24,20 @@
     },
 };
 
-/// How many records back a change's base may lie, and how many change ids are
-/// remembered. One number for both makes repeats safe: a change too old to be
-/// recognised as a repeat is also too old to be applied.
+/// The number of records by which a change's base may be behind, and the number
+/// of outcomes remembered by change id.
+///
+/// Both use the same number so that a repeat is never applied twice: a change
+/// too old to be recognised as a repeat is also too old to be applied.
 pub const WINDOW: usize = 1024;
 
-/// Records kept to be handed on to nodes that are behind.
-const TAIL_RECORDS: usize = 4096;
+/// The maximum number of recent records kept for nodes that are behind.
+const MAX_RECENT_RECORDS: usize = 4096;
 
-/// Bytes of records kept to be handed on.
-const TAIL_BYTES: usize = 4 << 20;
+/// The maximum total size, in bytes, of these records.
+const MAX_RECENT_BYTES: usize = 4 << 20;
 
-/// The state machine.
+/// The configuration that results from the records applied so far.
 ///
 /// # Example
 ///
@@ -43,7 +45,7 @@
 /// use rilltrack::state::machine::Machine;
 ///
 /// let mut machine = Machine::new();
-/// // A record that is none of ours is passed over, by every node alike.
+/// // Every node skips a record that this system did not write.
 /// let outcome = machine.apply(0, b"noise".as_slice().into())?;
 /// assert!(!outcome.verdict.is_accepted());
 /// assert_eq!(machine.version().offset, 1);
@@ -53,25 +55,32 @@
 pub struct Machine {
     core: Core,
     set: Arc<Set>,
-    tail: VecDeque<Bytes>,
-    tail_bytes: usize,
-    /// The snapshot of just this version: a herd of nodes asks for the same.
-    encoded: OnceLock<Bytes>,
+    /// The most recent records, oldest first.
+    recent: VecDeque<Bytes>,
+    /// The total size of `recent`.
+    recent_bytes: usize,
+    /// The encoded snapshot of the current version, cached because many nodes may
+    /// ask for it at the same time.
+    cached_snapshot: OnceLock<Bytes>,
 }
 
-/// The part of a [`Machine`] that snapshots carry beside the resources.
+/// The part of a [`Machine`], besides the resources, that a snapshot contains.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct Core {
+    /// The current version and its digest.
     now: Anchor,
+    /// The version of the last accepted change.
     accepted: Version,
+    /// The outcomes of the last [`WINDOW`] changes, oldest first.
     seen: VecDeque<Outcome>,
+    /// The last [`WINDOW`] anchors, oldest first.
     anchors: VecDeque<Anchor>,
 }
 
-/// What became of one record.
+/// The decision on one record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Outcome {
-    /// The change, where the record held one.
+    /// The id of the change, if the record contains one.
     pub id: Option<id::Change>,
     /// The version after the record.
     pub version: Version,
@@ -79,9 +88,9 @@
     pub author: String,
     /// The publisher's note.
     pub note: String,
-    /// The resources it names.
+    /// The resources that the change names.
     pub keys: Vec<Key>,
-    /// Accepted or why not.
+    /// Whether the change was accepted, and if not, why.
     pub verdict: Verdict,
 }
 
@@ -89,17 +98,19 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// In force from this version on.
+    /// The change is in force from this version on.
     Accepted,
-    /// The same change was decided before, at this version.
+    /// The change was already decided on, at this version.
     Repeated(Version),
-    /// Another change came first to a resource that this one touches.
+    /// Another change modified or deleted these resources, which this change
+    /// touches, after the version that it expects.
     Conflict(Vec<Key>),
-    /// Wrong in itself or in its references.
+    /// The change or a reference to or from its resources is invalid.
     Invalid(Vec<Problem>),
-    /// Its base is too far back, or of another history of the log.
+    /// The base of the change is too old or belongs to another history of the
+    /// log.
     Foreign,
-    /// No record of this system.
+    /// The record was not written by this system or can't be decoded.
     Unreadable,
 }
 
@@ -110,14 +121,14 @@
     }
 }
 
-/// What [`Machine::apply`] returns.
+/// The result of [`Machine::apply`].
 #[derive(Clone, Debug)]
 pub struct Applied {
-    /// The decision, as every node makes it.
+    /// The decision, the same on every node.
     pub verdict: Verdict,
-    /// The change's id, where there is one.
+    /// The id of the change, if the record contains one.
     pub id: Option<id::Change>,
-    /// What has to be projected anew; empty unless accepted.
+    /// What a view has to recompute; empty unless the change was accepted.
     pub touched: Touched,
 }
 
@@ -128,23 +139,23 @@
 }
 
 impl Machine {
-    /// Returns a machine before the first record.
+    /// Returns a machine that has applied no record.
     pub fn new() -> Self {
         Self {
             core: Core::default(),
             set: Arc::default(),
-            tail: VecDeque::new(),
-            tail_bytes: 0,
-            encoded: OnceLock::new(),
+            recent: VecDeque::new(),
+            recent_bytes: 0,
+            cached_snapshot: OnceLock::new(),
         }
     }
 
-    /// Returns the version held.
+    /// Returns the current version.
     pub fn version(&self) -> Version {
         self.core.now.version
     }
 
-    /// Returns the version held and the digest of the history behind it.
+    /// Returns the current version and the digest of the records up to it.
     pub fn anchor(&self) -> Anchor {
         self.core.now
     }
@@ -164,7 +175,7 @@
         self.core.seen.iter()
     }
 
-    /// Returns what was decided on a change, if it is still remembered.
+    /// Returns the outcome of a change, if it is still remembered.
     pub fn outcome(&self, id: &id::Change) -> Option<&Outcome> {
         self.core
             .seen
@@ -172,54 +183,57 @@
             .find(|outcome| outcome.id.as_ref() == Some(id))
     }
 
-    /// Returns the records from `from` on, if they are all still held.
+    /// Returns the records from `from` on, or `None` if `from` is of another
+    /// epoch or later than the current version, or some records are no longer
+    /// kept.
     pub fn records(&self, from: Version) -> Option<Vec<Bytes>> {
-        let held = self.version();
-        if from.epoch != held.epoch || from.offset > held.offset {
+        let current = self.version();
+        if from.epoch != current.epoch || from.offset > current.offset {
             return None;
         }
-        let missing = (held.offset - from.offset) as usize;
-        let start = self.tail.len().checked_sub(missing)?;
-        Some(self.tail.range(start..).cloned().collect())
+        let missing = (current.offset - from.offset) as usize;
+        let start = self.recent.len().checked_sub(missing)?;
+        Some(self.recent.range(start..).cloned().collect())
     }
 
     /// Applies the record at `offset` of the configuration stream.
     ///
-    /// A record that is refused moves the version too: all nodes have decided
-    /// on it.
+    /// A rejected record advances the version as well, because all nodes have
+    /// decided on it.
     ///
     /// # Errors
     ///
     /// [`Error::Gap`] if the record is not the next one and [`Error::Rules`]
-    /// if this program is too old for it. The state is then as before.
+    /// if it needs a newer program. The state is unchanged in both cases.
     pub fn apply(&mut self, offset: u64, record: Bytes) -> Result<Applied, Error> {
-        let held = self.version();
-        if offset != held.offset {
+        let current = self.version();
+        if offset != current.offset {
             return Err(Error::Gap {
                 found: offset,
-                held,
+                held: current,
             });
         }
         let entry = match Entry::decode(&record) {
             Err(error @ Error::Rules { .. }) => return Err(error),
             other => other.ok(),
         };
-        let version = held.after(offset);
+        let version = current.after(offset);
         let applied = match entry {
-            Some(Entry::Change(change)) => self.change(change, version),
-            // A restore in the run of one history has nothing to restore.
-            Some(Entry::Restore(_)) => passed_over(Verdict::Foreign),
-            None => passed_over(Verdict::Unreadable),
+            Some(Entry::Change(change)) => self.apply_change(change, version),
+            // Within an epoch there is nothing to restore; `Machine::restore`
+            // starts a new one.
+            Some(Entry::Restore(_)) => skipped(Verdict::Foreign),
+            None => skipped(Verdict::Unreadable),
         };
         self.advance(version, &record);
-        self.keep(record);
+        self.keep_recent(record);
         Ok(applied)
     }
 
-    /// Continues with the epoch that `restore`, found at `offset`, begins.
+    /// Starts the epoch that the record `restore` at `offset` announces.
     ///
-    /// Returns whether the state held is the one that goes on; if not, a
-    /// snapshot of the new epoch has to be fetched.
+    /// Returns whether the new epoch continues from the current state. If not,
+    /// nothing changes and a snapshot of the new epoch has to be fetched.
     pub fn restore(&mut self, offset: u64, restore: &Restore) -> bool {
         let continues = restore.base == self.core.now && restore.epoch == self.version().epoch + 1;
         if continues {
@@ -232,16 +246,16 @@
                 digest: self.core.now.digest,
             };
             self.core.anchors.push_back(self.core.now);
-            self.encoded = OnceLock::new();
-            self.tail.clear();
-            self.tail_bytes = 0;
+            self.cached_snapshot = OnceLock::new();
+            self.recent.clear();
+            self.recent_bytes = 0;
         }
         continues
     }
 
-    fn change(&mut self, change: Change, version: Version) -> Applied {
+    fn apply_change(&mut self, change: Change, version: Version) -> Applied {
         let mut touched = Touched::default();
-        let verdict = match self.judge(&change) {
+        let verdict = match self.check_preconditions(&change) {
             Some(verdict) => verdict,
             None => match Arc::make_mut(&mut self.set).apply(&change.ops, version) {
                 Ok(result) => {
@@ -257,25 +271,28 @@
             id: Some(change.id.clone()),
             touched,
         };
-        // The first decision on an id is the one that counts.
+        // Only the first decision on an id is remembered.
         if !matches!(verdict, Verdict::Repeated(_)) {
-            self.remember(change, version, verdict);
+            self.record_outcome(change, version, verdict);
         }
         applied
     }
 
-    /// Returns the verdict on a change that does not get as far as its
-    /// operations.
-    fn judge(&self, change: &Change) -> Option<Verdict> {
+    /// Returns why a change is rejected before its operations are applied, or
+    /// `None` if they may be applied.
+    fn check_preconditions(&self, change: &Change) -> Option<Verdict> {
         if let Some(first) = self.outcome(&change.id) {
             return Some(Verdict::Repeated(first.version));
         }
-        if !self.is_of_this_history(change.base) {
+        if !self.is_known_anchor(change.base) {
             return Some(Verdict::Foreign);
         }
         let expect = change.expect?;
-        let changed_since =
-            |key: &Key| self.set.get(key).is_some_and(|held| held.modified > expect);
+        let changed_since = |key: &Key| {
+            self.set
+                .get(key)
+                .is_some_and(|stored| stored.modified > expect)
+        };
         let mut keys: Vec<Key> = change
             .ops
             .iter()
@@ -288,7 +305,7 @@
         (!keys.is_empty()).then_some(Verdict::Conflict(keys))
     }
 
-    /// Returns the resources that `change` touches and that another change
+    /// Returns the resources that `change` touches and that another accepted change
     /// deleted after `expect`.
     fn deleted_since<'a>(
         &'a self,
@@ -298,19 +315,22 @@
         let later = self
             .history()
             .filter(move |o| o.version > expect && o.verdict.is_accepted());
-        let gone = later
+        let deleted = later
             .flat_map(|o| &o.keys)
             .filter(|key| self.set.get(key).is_none());
-        gone.filter(|key| change.ops.iter().any(|op| op.key() == **key))
+        deleted
+            .filter(|key| change.ops.iter().any(|op| op.key() == **key))
             .cloned()
     }
 
-    fn is_of_this_history(&self, base: Anchor) -> bool {
+    /// Returns whether `base` is a recent anchor of this machine's history. The
+    /// anchor before the first record counts while it is recent.
+    fn is_known_anchor(&self, base: Anchor) -> bool {
         let is_start = base == Anchor::default() && self.version().offset as usize <= WINDOW;
         is_start || base == self.core.now || self.core.anchors.contains(&base)
     }
 
-    fn remember(&mut self, change: Change, version: Version, verdict: Verdict) {
+    fn record_outcome(&mut self, change: Change, version: Version, verdict: Verdict) {
         let keys = change.ops.iter().map(|op| op.key()).collect();
         let Change {
             id, author, note, ..
@@ -332,29 +352,29 @@
         let mut hasher = blake3::Hasher::new();
         hasher.update(&self.core.now.digest.to_be_bytes());
         hasher.update(record);
-        let digest = first_word(hasher.finalize().as_bytes());
+        let digest = first_u64(hasher.finalize().as_bytes());
         self.core.now = Anchor { version, digest };
-        self.encoded = OnceLock::new();
+        self.cached_snapshot = OnceLock::new();
         self.core.anchors.push_back(self.core.now);
         while self.core.anchors.len() > WINDOW {
             self.core.anchors.pop_front();
         }
     }
 
-    fn keep(&mut self, record: Bytes) {
-        self.tail_bytes += record.len();
-        self.tail.push_back(record);
-        while self.tail.len() > TAIL_RECORDS || self.tail_bytes > TAIL_BYTES {
-            let Some(oldest) = self.tail.pop_front() else {
+    fn keep_recent(&mut self, record: Bytes) {
+        self.recent_bytes += record.len();
+        self.recent.push_back(record);
+        while self.recent.len() > MAX_RECENT_RECORDS || self.recent_bytes > MAX_RECENT_BYTES {
+            let Some(oldest) = self.recent.pop_front() else {
                 break;
             };
-            self.tail_bytes -= oldest.len();
+            self.recent_bytes -= oldest.len();
         }
     }
 
-    /// Returns a snapshot of the whole state, with a checksum.
+    /// Returns a snapshot of the whole state, preceded by a checksum.
     pub fn snapshot(&self) -> Bytes {
-        self.encoded.get_or_init(|| self.encode()).clone()
+        self.cached_snapshot.get_or_init(|| self.encode()).clone()
     }
 
     fn encode(&self) -> Bytes {
@@ -374,7 +394,8 @@
     /// # Errors
     ///
     /// [`Error::Checksum`], [`Error::Decode`] or [`Error::Rules`] if the
-    /// snapshot is damaged or too new. Nothing is ever taken from part of it.
+    /// snapshot is damaged or needs a newer program. A damaged snapshot is never
+    /// used in part.
     pub fn from_snapshot(bytes: &[u8]) -> Result<Self, Error> {
         let (checksum, body) = bytes.split_first_chunk::<32>().ok_or(Error::Checksum)?;
         if blake3::hash(body) != blake3::Hash::from_bytes(*checksum) {
@@ -404,7 +425,7 @@
     set: Set,
 }
 
-fn passed_over(verdict: Verdict) -> Applied {
+fn skipped(verdict: Verdict) -> Applied {
     Applied {
         verdict,
         id: None,
@@ -412,7 +433,7 @@
     }
 }
 
-fn first_word(hash: &[u8; 32]) -> u64 {
+fn first_u64(hash: &[u8; 32]) -> u64 {
     let (word, _) = hash.split_first_chunk::<8>().expect("a hash is 32 bytes");
     u64::from_be_bytes(*word)
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,16 +1,20 @@
-//! State: what a node holds and the pure functions over it.
+//! The state of a node and the pure functions over it.
 //!
-//! Nothing in this layer waits, talks to another process or reads a clock, so
-//! every decision here can be replayed and compared with a naive version.
+//! Nothing in this layer blocks, performs I/O or reads a clock, so every
+//! decision here can be replayed and compared with a naive implementation.
 //!
-//! * [`resource`], [`selector`]: what operators publish;
-//! * [`change`]: how they publish it, as records of the platform's log;
+//! * [`resource`], [`selector`]: the resources that operators publish and the
+//!   conditions on their labels;
+//! * [`change`]: changes of resources, as records of the platform's log;
 //! * [`machine`]: the replicated state machine that applies the records;
-//! * [`check`]: what makes a change acceptable;
-//! * [`view`]: what one proxy needs of the whole;
+//! * [`check`]: the validation of a change;
+//! * [`view`]: the part of the configuration that one proxy needs;
 //! * [`member`]: the nodes and targets of the mesh;
-//! * [`evidence`], [`fingerprint`]: what nodes tell of requests under which targets ended;
-//! * [`routing`]: a whole version of routes from a source outside.
+//! * [`evidence`], [`fingerprint`]: what nodes report about requests under which
+//!   targets crashed;
+//! * [`routing`]: a complete version of routes from an external source;
+//! * [`rollout`]: the progress of moving a service to another release;
+//! * [`version`]: the position of a state in the log.
 
 pub mod change;
 pub mod check;
@@ -25,7 +29,7 @@
 pub mod version;
 pub mod view;
 
-/// An error of this layer.
+/// Why a record or snapshot could not be applied.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// A record or snapshot could not be decoded.
@@ -37,23 +41,24 @@
         #[source]
         source: rmp_serde::decode::Error,
     },
-    /// A snapshot's checksum does not fit its bytes.
+    /// A snapshot's checksum does not match its content.
     #[error("checksum of snapshot does not match")]
     Checksum,
-    /// A record or snapshot was written under rules this version lacks.
+    /// A record or snapshot needs a newer version of the rules than this
+    /// program has.
     #[error("written under rules {found}, this version knows up to {known}")]
     Rules {
-        /// The rules it was written under.
+        /// The rules version it was written under.
         found: u32,
-        /// The newest rules known here.
+        /// The newest rules version of this program.
         known: u32,
     },
-    /// A record does not continue the state held.
+    /// A record's offset is not the next one for this state.
     #[error("record at {found} does not continue version {held}")]
     Gap {
         /// The offset of the record.
         found: u64,
-        /// The version held.
+        /// The version of the state.
         held: version::Version,
     },
 }
