--- a/src/state/change.rs
+++ b/src/state/change.rs
@@ -1,4 +1,4 @@
-//! Changes of configuration, as records of the platform's log.
+//! Changes of the configuration, as records of the platform's log.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -13,27 +13,29 @@
     },
 };
 
-/// The newest rules by which this version of the program applies records.
+/// The newest version of the rules by which this program applies records.
 ///
-/// All nodes must decide alike, so a node that meets a record of newer rules
-/// stops there and keeps serving what it holds until it is upgraded.
+/// All nodes must make the same decisions, so a node that reads a record of newer
+/// rules stops there and keeps serving its current version until it is upgraded.
 pub const RULES: u32 = 1;
 
-/// What tells our records from a stranger's.
+/// The first two bytes of each record of this system, which distinguish it from other
+/// records in the log.
 const MAGIC: [u8; 2] = *b"rt";
 
-/// One change of configuration: all of its operations, or none.
+/// A change of the configuration. Either all of its operations apply or none.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// The key under which a repeat is recognised.
+    /// The idempotency key: a repeat of the change has the same id.
     pub id: id::Change,
-    /// The state the publisher saw; ties the record to one history.
+    /// The state that the publisher saw. It ties the record to one history of the log.
     pub base: Anchor,
-    /// If set, every resource touched must be unchanged since this version.
+    /// If set, the change is rejected if a resource that it touches was changed after
+    /// this version.
     pub expect: Option<Version>,
-    /// Who published it, for the history.
+    /// The publisher, for the history.
     pub author: String,
-    /// Why, for the history.
+    /// The publisher's note on the reason, for the history.
     pub note: String,
     /// The operations.
     pub ops: Vec<Op>,
@@ -43,11 +45,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Op {
-    /// Creates a resource or replaces it whole.
+    /// Creates a resource or replaces all of it.
     Put(Resource),
     /// Deletes a resource.
     Delete(Key),
-    /// Sets labels of a resource.
+    /// Sets and removes labels of a resource.
     Label {
         /// The resource.
         key: Key,
@@ -59,7 +61,7 @@
 }
 
 impl Op {
-    /// Returns the resource that the operation touches.
+    /// Returns the key of the resource that the operation touches.
     pub fn key(&self) -> Key {
         match self {
             Self::Put(resource) => resource.key(),
@@ -73,23 +75,25 @@
 pub struct Anchor {
     /// The version.
     pub version: Version,
-    /// The digest over all records up to it; two histories that share an
-    /// offset differ here.
+    /// The digest of all records up to the version. Two histories with the same offset
+    /// have different digests.
     pub digest: u64,
 }
 
-/// A new epoch, begun by an operator after the log lost its end.
+/// The start of a new epoch, which an operator publishes after the log has lost its
+/// last records.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Restore {
-    /// The state that goes on, which nodes hold or fetch from each other.
+    /// The state from which the epoch continues. Nodes that do not have it fetch it from
+    /// others.
     pub base: Anchor,
     /// The epoch that begins with the next record.
     pub epoch: u32,
-    /// Who began it.
+    /// The operator who started it.
     pub author: String,
 }
 
-/// What a record of the configuration stream holds.
+/// The content of a record of the configuration stream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Entry {
@@ -100,29 +104,29 @@
 }
 
 impl Entry {
-    /// Returns the record that holds this entry.
+    /// Returns the record that contains this entry.
     pub fn encode(&self) -> Bytes {
         let mut bytes = MAGIC.to_vec();
         bytes.extend(RULES.to_be_bytes());
-        // Field names are written out, so that a later version may add fields.
+        // Fields are written by name, so that a later version can add fields.
         let body = rmp_serde::to_vec_named(self);
         bytes.extend(body.expect("plain data always encodes"));
         bytes.into()
     }
 
-    /// Returns the entry that `record` holds.
+    /// Returns the entry that `record` contains.
     ///
     /// # Errors
     ///
-    /// [`Error::Rules`] if the record needs a newer program, which must stop
-    /// here; [`Error::Decode`] if it is no record of ours, which every node
-    /// finds alike and passes over.
+    /// [`Error::Rules`] if the record needs a newer program; the node must stop before
+    /// this record. [`Error::Decode`] if this system did not write the record; every
+    /// node skips it.
     pub fn decode(record: &[u8]) -> Result<Self, Error> {
         let body = record
             .strip_prefix(&MAGIC)
             .and_then(<[u8]>::split_first_chunk::<4>);
         let Some((rules, body)) = body else {
-            return Err(foreign());
+            return Err(foreign_record());
         };
         let found = u32::from_be_bytes(*rules);
         if found > RULES {
@@ -138,7 +142,7 @@
     }
 }
 
-fn foreign() -> Error {
+fn foreign_record() -> Error {
     let source = rmp_serde::decode::Error::Uncategorized("no record of this system".into());
     Error::Decode {
         what: "record",
--- a/src/state/check.rs
+++ b/src/state/check.rs
@@ -1,8 +1,8 @@
-//! What makes a change acceptable.
+//! The resources of one version and the validation of changes to them.
 //!
-//! The check looks only at what a change touches, because a mesh has
-//! thousands of resources and thousands of changes a day. The naive version,
-//! which looks at everything, stands in the tests and must agree.
+//! Validation covers only what a change touches, because a mesh has thousands
+//! of resources and thousands of changes a day. The tests compare it with a
+//! naive implementation that checks every resource.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -23,34 +23,34 @@
 
 /// The resources of one version.
 ///
-/// Cheap to clone in proportion to the number of resources: each is shared.
+/// A clone copies one pointer for each resource; the resources are shared.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Set {
     held: BTreeMap<Key, Arc<Held>>,
 }
 
-/// A resource and when it last changed.
+/// A resource and the version that last changed it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Held {
     /// The resource.
     pub resource: Resource,
-    /// The version that last changed it.
+    /// The version of the last change to the resource.
     pub modified: Version,
 }
 
-/// One thing wrong with a change.
+/// One reason why a change is invalid.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize, Ord, PartialOrd)]
 pub struct Problem {
     /// The resource at fault.
     pub key: Key,
-    /// The field at fault, empty for the whole resource.
+    /// The field at fault; empty if the problem concerns the whole resource.
     pub field: String,
-    /// What is wrong, and the mend where there is one.
+    /// What is wrong, and how to correct it where that is known.
     pub what: String,
 }
 
 impl Problem {
-    /// Returns a problem with `field` of `key`.
+    /// Returns a problem with the field `field` of the resource `key`.
     pub fn new(key: &Key, field: &str, what: impl Into<String>) -> Self {
         Self {
             key: key.clone(),
@@ -81,7 +81,7 @@
         self.held.is_empty()
     }
 
-    /// Returns the resource and its last change.
+    /// Returns a resource and the version that last changed it.
     pub fn get(&self, key: &Key) -> Option<&Held> {
         self.held.get(key).map(AsRef::as_ref)
     }
@@ -93,7 +93,7 @@
 
     /// Returns the failure domains.
     pub fn domains(&self) -> impl Iterator<Item = &crate::state::resource::Domain> {
-        self.iter().filter_map(|held| match &held.resource {
+        self.iter().filter_map(|stored| match &stored.resource {
             Resource::Domain(domain) => Some(domain),
             _ => None,
         })
@@ -101,7 +101,7 @@
 
     /// Returns the services.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
-        self.iter().filter_map(|held| match &held.resource {
+        self.iter().filter_map(|stored| match &stored.resource {
             Resource::Service(service) => Some(service),
             _ => None,
         })
@@ -109,7 +109,7 @@
 
     /// Returns the boundaries.
     pub fn boundaries(&self) -> impl Iterator<Item = &Boundary> {
-        self.iter().filter_map(|held| match &held.resource {
+        self.iter().filter_map(|stored| match &stored.resource {
             Resource::Boundary(boundary) => Some(boundary),
             _ => None,
         })
@@ -117,7 +117,7 @@
 
     /// Returns the routes.
     pub fn routes(&self) -> impl Iterator<Item = &Route> {
-        self.iter().filter_map(|held| match &held.resource {
+        self.iter().filter_map(|stored| match &stored.resource {
             Resource::Route(route) => Some(route),
             _ => None,
         })
@@ -165,19 +165,19 @@
         }
     }
 
-    /// Applies `ops` as the change that leads to `version`, whole or not at
-    /// all.
+    /// Applies all of `ops`, as the change that leads to `version`, or none of
+    /// them.
     ///
-    /// Returns what has to be computed anew after it.
+    /// Returns what a view has to recompute after the change.
     ///
     /// # Errors
     ///
-    /// Everything that is wrong with the change; `self` is then as before.
+    /// All problems of the change. `self` is then unchanged.
     pub fn apply(&mut self, ops: &[Op], version: Version) -> Result<Touched, Vec<Problem>> {
         let mut next = self.clone();
         let mut problems = Vec::new();
         for op in ops {
-            if let Err(problem) = next.step(op, version) {
+            if let Err(problem) = next.apply_op(op, version) {
                 problems.push(problem);
             }
         }
@@ -192,7 +192,7 @@
         Ok(touched)
     }
 
-    fn step(&mut self, op: &Op, modified: Version) -> Result<(), Problem> {
+    fn apply_op(&mut self, op: &Op, modified: Version) -> Result<(), Problem> {
         let key = op.key();
         let resource = match op {
             Op::Put(resource) => resource.clone(),
@@ -203,10 +203,10 @@
                 };
             }
             Op::Label { set, remove, .. } => {
-                let Some(held) = self.get(&key) else {
+                let Some(stored) = self.get(&key) else {
                     return Err(Problem::new(&key, "", "is not there to be labelled"));
                 };
-                let mut resource = held.resource.clone();
+                let mut resource = stored.resource.clone();
                 let Some(labels) = resource.labels_mut() else {
                     return Err(Problem::new(&key, "labels", "this kind has no labels"));
                 };
@@ -221,17 +221,17 @@
 
     fn check(&self, touched: &Touched, problems: &mut Vec<Problem>) {
         for key in &touched.keys {
-            match self.get(key).map(|held| &held.resource) {
+            match self.get(key).map(|stored| &stored.resource) {
                 Some(resource) => self.check_resource(resource, problems),
                 None => self.check_deleted(key, problems),
             }
         }
         for service in &touched.services {
-            self.check_reach(service, problems);
+            self.check_destinations(service, problems);
         }
     }
 
-    /// Checks one resource that is there: its own fields and what it refers to.
+    /// Checks the fields and references of a resource.
     fn check_resource(&self, resource: &Resource, problems: &mut Vec<Problem>) {
         let key = resource.key();
         let mut add = |field: &str, what: String| problems.push(Problem::new(&key, field, what));
@@ -294,15 +294,18 @@
                 if self.service(&route.service).is_none() {
                     add("service", format!("no service `{}`", route.service));
                 }
-                if let Some(twin) = self.twin(route) {
-                    add("path", format!("is also matched by route/{}", twin.name));
+                if let Some(duplicate) = self.duplicate(route) {
+                    add(
+                        "path",
+                        format!("is also matched by route/{}", duplicate.name),
+                    );
                 }
             }
         }
     }
 
-    /// Returns another route that matches just the same requests.
-    fn twin(&self, route: &Route) -> Option<&Route> {
+    /// Returns another route that matches exactly the same requests.
+    fn duplicate(&self, route: &Route) -> Option<&Route> {
         self.routes().find(|other| {
             other.name != route.name
                 && other.host == route.host
@@ -312,11 +315,11 @@
         })
     }
 
-    /// Checks that nothing refers to a resource that is gone.
+    /// Checks that no resource refers to the deleted resource `key`.
     fn check_deleted(&self, key: &Key, problems: &mut Vec<Problem>) {
-        let mut refer = |by: Key, field: &str| {
+        let mut add_reference = |from: Key, field: &str| {
             problems.push(Problem::new(
-                &by,
+                &from,
                 field,
                 format!("refers to {key}, which the change deletes"),
             ));
@@ -324,7 +327,7 @@
         match key.kind {
             Kind::Policy => {
                 for service in self.services().filter(|s| s.policy == key.name) {
-                    refer(
+                    add_reference(
                         Key {
                             kind: Kind::Service,
                             name: service.name.clone(),
@@ -335,7 +338,7 @@
             }
             Kind::Service => {
                 for route in self.routes().filter(|r| r.service == key.name) {
-                    refer(
+                    add_reference(
                         Key {
                             kind: Kind::Route,
                             name: route.name.clone(),
@@ -344,14 +347,16 @@
                     );
                 }
             }
-            // Boundaries select domains by label: covered by the check of reach.
+            // A boundary selects failure domains by label, not by name;
+            // `check_destinations` covers it.
             Kind::Domain | Kind::Boundary | Kind::Route => {}
         }
     }
 
-    /// Checks that a routed service may go somewhere, from everywhere that a
-    /// boundary speaks of. A change of a label alone can break this.
-    fn check_reach(&self, name: &Name, problems: &mut Vec<Problem>) {
+    /// Checks that requests of a routed service may be sent to at least one
+    /// failure domain from each failure domain to which boundaries of the
+    /// service apply. A change of labels alone can break this.
+    fn check_destinations(&self, name: &Name, problems: &mut Vec<Problem>) {
         let Some(service) = self.service(name) else {
             return;
         };
@@ -379,10 +384,10 @@
                 .iter()
                 .filter(|b| b.from.matches(&domain.labels))
                 .collect();
-            let open = self
+            let has_destination = self
                 .domains()
                 .any(|to| applying.iter().all(|b| b.to.matches(&to.labels)));
-            if !open {
+            if !has_destination {
                 let names: BTreeSet<&str> = applying.iter().map(|b| b.name.as_str()).collect();
                 let names: Vec<&str> = names.into_iter().collect();
                 let what = format!(
@@ -396,12 +401,12 @@
     }
 }
 
-/// What a change made necessary to look at again.
+/// What has to be checked and recomputed after a change.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Touched {
     /// The resources that the change names.
     pub keys: BTreeSet<Key>,
-    /// The services whose policy, boundaries or routes may now differ.
+    /// The services whose policy, boundaries or routes may have changed.
     pub services: BTreeSet<Name>,
 }
 
@@ -409,14 +414,15 @@
     fn between(old: &Set, new: &Set, ops: &[Op]) -> Self {
         let keys: BTreeSet<Key> = ops.iter().map(Op::key).collect();
         let mut services = BTreeSet::new();
-        let whole = keys.iter().any(|key| key.kind == Kind::Domain);
+        let has_domain = keys.iter().any(|key| key.kind == Kind::Domain);
         for set in [old, new] {
-            if whole {
+            // A failure domain can affect every service.
+            if has_domain {
                 services.extend(set.services().map(|s| s.name.clone()));
                 continue;
             }
             for key in &keys {
-                set.services_of(key, &mut services);
+                set.add_affected_services(key, &mut services);
             }
         }
         Self { keys, services }
@@ -424,10 +430,10 @@
 }
 
 impl Set {
-    /// Adds the services that the resource `key` bears upon.
-    fn services_of(&self, key: &Key, services: &mut BTreeSet<Name>) {
-        let Some(held) = self.get(key) else { return };
-        match &held.resource {
+    /// Adds the services that the resource `key` affects.
+    fn add_affected_services(&self, key: &Key, services: &mut BTreeSet<Name>) {
+        let Some(stored) = self.get(key) else { return };
+        match &stored.resource {
             Resource::Domain(_) => {}
             Resource::Service(service) => {
                 services.insert(service.name.clone());
--- a/src/state/selector.rs
+++ b/src/state/selector.rs
@@ -1,18 +1,18 @@
-//! Labels, and selectors over them.
+//! Labels, and selectors that match them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
 
-/// The labels of one thing: service, failure domain, proxy or target.
+/// The labels of a service, failure domain, proxy or target, by key.
 pub type Labels = BTreeMap<String, String>;
 
 /// A condition on labels.
 ///
-/// Every part that is written must hold. A selector without any part is
-/// refused by [`Selector::problem`]: with most selectors of the field an empty
-/// one means "everything", and a forgotten line would then open a boundary.
-/// Say `"all": true` for everything.
+/// All of its parts must match. [`Selector::problem`] reports a selector without
+/// any part as invalid: in most systems an empty selector selects everything, and
+/// an omitted line would then widen a boundary. To select everything, write
+/// `"all": true`.
 ///
 /// # Example
 ///
@@ -30,10 +30,10 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Selector {
-    /// Selects everything; stands alone.
+    /// Selects everything. Must be the only part.
     #[serde(default)]
     pub all: bool,
-    /// Labels that must be there with just this value.
+    /// Labels that must be present with exactly these values.
     #[serde(default)]
     pub match_labels: Labels,
     /// Further conditions.
@@ -47,28 +47,28 @@
 pub struct Expression {
     /// The label's key.
     pub key: String,
-    /// How `values` are compared.
+    /// The comparison with `values`.
     pub operator: Operator,
-    /// The values to compare with; empty for the `Exists` pair.
+    /// The values to compare with; empty for `Exists` and `DoesNotExist`.
     #[serde(default)]
     pub values: BTreeSet<String>,
 }
 
-/// How an [`Expression`] compares.
+/// The comparison of an [`Expression`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum Operator {
-    /// The label is there and its value is listed.
+    /// The label is present and its value is listed.
     In,
     /// The label is absent or its value is not listed.
     NotIn,
-    /// The label is there.
+    /// The label is present.
     Exists,
     /// The label is absent.
     DoesNotExist,
 }
 
 impl Selector {
-    /// Returns a selector of everything.
+    /// Returns a selector that selects everything.
     pub fn everything() -> Self {
         Self {
             all: true,
@@ -76,14 +76,14 @@
         }
     }
 
-    /// Returns whether `labels` meet every part of the selector.
+    /// Returns whether `labels` match every part of the selector.
     pub fn matches(&self, labels: &Labels) -> bool {
-        let equal = |(key, value): (&String, &String)| labels.get(key) == Some(value);
-        self.match_labels.iter().all(equal)
+        let is_equal = |(key, value): (&String, &String)| labels.get(key) == Some(value);
+        self.match_labels.iter().all(is_equal)
             && self.match_expressions.iter().all(|e| e.matches(labels))
     }
 
-    /// Returns what is wrong with the selector itself, if anything.
+    /// Returns why the selector is invalid, or `None` if it is valid.
     pub fn problem(&self) -> Option<&'static str> {
         let parts = self.match_labels.len() + self.match_expressions.len();
         match (self.all, parts) {
@@ -106,8 +106,8 @@
     }
 
     fn problem(&self) -> Option<&'static str> {
-        let wants_values = matches!(self.operator, Operator::In | Operator::NotIn);
-        match (wants_values, self.values.is_empty()) {
+        let needs_values = matches!(self.operator, Operator::In | Operator::NotIn);
+        match (needs_values, self.values.is_empty()) {
             (true, true) => Some("In and NotIn need values"),
             (false, false) => Some("Exists and DoesNotExist take no values"),
             _ => None,
