--- a/src/state/member.rs
+++ b/src/state/member.rs
@@ -1,4 +1,5 @@
-//! The nodes of the mesh and the targets beside them.
+//! The nodes of the mesh and the targets beside them, with the rules for merging
+//! reports about them.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -14,111 +15,118 @@
     state::{evidence::Evidence, selector::Labels},
 };
 
-/// Groups into which members fall for comparing two tables.
+/// The number of groups of members when two tables are compared.
 pub const BUCKETS: usize = 128;
 
-/// What is known about one node.
+/// A report about one node.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Member {
     /// The node.
     pub node: Node,
-    /// Its current life.
+    /// The incarnation of the node's process.
     pub incarnation: Incarnation,
-    /// Counts what the node says about itself within one life.
+    /// Counts the node's reports about itself within one incarnation.
     pub sequence: u64,
-    /// Whether it is there.
+    /// Whether the node is available.
     pub status: Status,
-    /// The failure domain it is in.
+    /// The failure domain of the node.
     pub domain: Name,
-    /// Where other nodes reach it for control.
+    /// The address for control messages from other nodes.
     pub peers: SocketAddr,
-    /// Where other nodes send requests for its targets.
+    /// The address to which other nodes send requests for its targets.
     pub inbound: SocketAddr,
     /// The proxy's labels.
     pub labels: Labels,
-    /// The targets announced to it.
+    /// The targets that have announced themselves to the node.
     pub targets: Vec<Target>,
-    /// What its host's link carries, in Mbit/s, if it says so; 0 if not.
+    /// The bandwidth of its host's network link in Mbit/s; 0 if not reported.
     #[serde(default)]
     pub bandwidth: u32,
-    /// What it knows of requests under which targets ended.
+    /// Its evidence of requests under which targets crashed.
     #[serde(default, skip_serializing_if = "Evidence::is_empty")]
     pub evidence: Evidence,
 }
 
-/// Whether a member is there. The order decides between two claims about the
-/// same life: the later one wins.
+/// The availability of a member.
+///
+/// Of two reports about the same incarnation with the same sequence, the one
+/// whose status comes later in this order wins.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub enum Status {
     /// In service.
     Alive,
-    /// Did not answer; may still refute it.
+    /// Did not answer. The node can refute the suspicion.
     Suspect,
-    /// Leaving of its own will: gets no new work.
+    /// Shutting down as planned: gets no new requests.
     Leaving,
-    /// Gone.
+    /// Stopped, or unreachable for too long.
     Gone,
 }
 
 /// A target beside a node.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Target {
-    /// The service it offers.
+    /// The service of the target.
     pub service: Name,
-    /// Where the node reaches it.
+    /// The address at which the node reaches it.
     pub address: SocketAddr,
-    /// Whether it speaks HTTP/2 without being asked.
+    /// Whether it accepts HTTP/2 with prior knowledge.
     pub http2: bool,
-    /// Whether it is leaving and gets no new work.
+    /// Whether it is shutting down and gets no new requests.
     pub draining: bool,
-    /// Requests it runs at a time, if it says so; 0 if not.
+    /// The number of requests that it runs at a time; 0 if not reported.
     #[serde(default)]
     pub slots: u32,
-    /// The life of the target's process, if it names it.
+    /// The instance of the target's process, if reported.
     #[serde(default)]
     pub instance: Instance,
-    /// The release of its program, if it names it.
+    /// The release of its program, if reported.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub release: Option<Release>,
-    /// How it did while its release is on trial, as the node beside it sees it.
+    /// How it performs while its release is on trial, as judged by the node
+    /// beside it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub verdict: Option<Verdict>,
 }
 
 impl Target {
-    /// Returns whether it fails on the trial of an order, if that is known.
+    /// Returns whether the target fails on the trial of `order`, or `None` if it
+    /// has no verdict for that order.
     pub fn is_failing(&self, order: u64) -> Option<bool> {
         let verdict = self.verdict.filter(|verdict| verdict.order == order);
         verdict.map(|verdict| verdict.is_failing)
     }
 }
 
-/// How a target of a release on trial did.
+/// How a target of a release on trial performs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Verdict {
-    /// The order whose trial it is: [`Rollout::order`](crate::state::rollout::Rollout).
+    /// The roll-out order of the trial:
+    /// [`Rollout::order`](crate::state::rollout::Rollout).
     pub order: u64,
-    /// Whether it did worse than the release that serves.
+    /// Whether it performs worse than the serving release.
     pub is_failing: bool,
 }
 
 impl Member {
-    /// Returns what decides which of two claims about a node is newer.
+    /// Returns the precedence of the report: of two reports about a node, the one
+    /// with the greater value is newer.
     pub fn stamp(&self) -> (Incarnation, u64, Status) {
         (self.incarnation, self.sequence, self.status)
     }
 
-    /// Returns the target of a service beside it, if there is one.
+    /// Returns the node's target of a service, if it has one.
     pub fn target(&self, service: &Name) -> Option<&Target> {
         self.targets.iter().find(|t| t.service == *service)
     }
 
-    fn mark(&self) -> u32 {
+    /// Returns the hash by which tables compare this report.
+    fn hash(&self) -> u32 {
         let (incarnation, sequence, status) = self.stamp();
         xxh3_64(format!("{} {incarnation} {sequence} {status:?}", self.node).as_bytes()) as u32
     }
 
-    /// Returns whether the member may be asked for anything.
+    /// Returns whether other nodes may contact the member.
     pub fn is_present(&self) -> bool {
         matches!(
             self.status,
@@ -127,20 +135,21 @@
     }
 }
 
-/// Returns the bucket a node falls into.
+/// Returns the bucket of a node, below [`BUCKETS`].
 pub fn bucket(node: &Node) -> usize {
     xxh3_64(node.as_str().as_bytes()) as usize % BUCKETS
 }
 
-/// All members known, indexed by service.
+/// All known members, indexed by service.
 #[derive(Clone, Debug)]
 pub struct Table {
     members: HashMap<Node, Arc<Member>>,
-    /// By service, those of a failure domain beside each other.
+    /// Members with a target of each service, ordered by failure domain.
     offers: BTreeMap<Name, Vec<Arc<Member>>>,
-    /// Targets of each release, by service.
+    /// The number of targets of each release, by service.
     releases: BTreeMap<Name, BTreeMap<Release, usize>>,
-    marks: Vec<u32>,
+    /// For each bucket, the XOR of the hashes of its members.
+    bucket_hashes: Vec<u32>,
 }
 
 impl Default for Table {
@@ -149,28 +158,28 @@
             members: HashMap::new(),
             offers: BTreeMap::new(),
             releases: BTreeMap::new(),
-            marks: vec![0; BUCKETS],
+            bucket_hashes: vec![0; BUCKETS],
         }
     }
 }
 
 impl Table {
-    /// Takes `member` in if it is newer than what is held.
+    /// Stores `member` if it is newer than the stored report about the same node.
     ///
-    /// Returns whether it was.
+    /// Returns whether it was stored.
     pub fn merge(&mut self, member: Member) -> bool {
-        let held = self.members.get(&member.node);
-        if held.is_some_and(|held| held.stamp() >= member.stamp()) {
+        let stored = self.members.get(&member.node);
+        if stored.is_some_and(|stored| stored.stamp() >= member.stamp()) {
             return false;
         }
-        if let Some(old) = held.cloned() {
+        if let Some(old) = stored.cloned() {
             self.unindex(&old);
         }
         self.index(Arc::new(member));
         true
     }
 
-    /// Forgets a member that has been gone for long.
+    /// Removes a member, used once it has been gone for long.
     pub fn forget(&mut self, node: &Node) {
         if let Some(old) = self.members.remove(node) {
             self.unindex(&old);
@@ -178,13 +187,13 @@
     }
 
     fn index(&mut self, member: Arc<Member>) {
-        self.marks[bucket(&member.node)] ^= member.mark();
+        self.bucket_hashes[bucket(&member.node)] ^= member.hash();
         if member.is_present() {
             for target in &member.targets {
                 let offers = self.offers.entry(target.service.clone()).or_default();
                 if !offers.iter().any(|other| other.node == member.node) {
-                    let at = offers.partition_point(|other| other.domain <= member.domain);
-                    offers.insert(at, member.clone());
+                    let position = offers.partition_point(|other| other.domain <= member.domain);
+                    offers.insert(position, member.clone());
                     if let Some(release) = &target.release {
                         let counts = self.releases.entry(target.service.clone()).or_default();
                         *counts.entry(release.clone()).or_default() += 1;
@@ -196,7 +205,7 @@
     }
 
     fn unindex(&mut self, old: &Member) {
-        self.marks[bucket(&old.node)] ^= old.mark();
+        self.bucket_hashes[bucket(&old.node)] ^= old.hash();
         for target in &old.targets {
             let Some(offers) = self.offers.get_mut(&target.service) else {
                 continue;
@@ -218,28 +227,30 @@
         }
     }
 
-    /// Returns the release of most targets of a service, other than `but`; the first by
-    /// name among equals, so that all nodes which know the same members agree.
-    pub fn main_release(&self, service: &Name, but: Option<&Release>) -> Option<&Release> {
+    /// Returns the release with the most targets of a service, except `excluded`.
+    ///
+    /// Of several with the same number it returns the first by name, so that all
+    /// nodes that know the same members agree.
+    pub fn main_release(&self, service: &Name, excluded: Option<&Release>) -> Option<&Release> {
         let counts = self.releases.get(service)?.iter();
-        let others = counts.filter(|(release, _)| Some(*release) != but);
+        let others = counts.filter(|(release, _)| Some(*release) != excluded);
         let most = others.rev().max_by_key(|(_, count)| **count);
         most.map(|(release, _)| release)
     }
 
-    /// Returns whether targets of several releases offer a service.
+    /// Returns whether the targets of a service are of more than one release.
     pub fn has_releases(&self, service: &Name) -> bool {
         self.releases
             .get(service)
             .is_some_and(|counts| counts.len() > 1)
     }
 
-    /// Returns a member.
+    /// Returns the member of a node, if it is known.
     pub fn get(&self, node: &Node) -> Option<&Arc<Member>> {
         self.members.get(node)
     }
 
-    /// Returns all members, in no order.
+    /// Returns all members, in arbitrary order.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Member>> {
         self.members.values()
     }
@@ -254,32 +265,35 @@
         self.members.is_empty()
     }
 
-    /// Returns the members beside which a target of `service` runs.
+    /// Returns the members that have a target of `service`, ordered by failure
+    /// domain.
     pub fn offers(&self, service: &Name) -> &[Arc<Member>] {
         self.offers.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns the members beside which a target of `service` runs, in three parts: those
-    /// of failure domains before `domain`, those of it, and those of domains after it.
+    /// Returns the members that have a target of `service`, in three parts: those of
+    /// failure domains ordered before `domain`, those in `domain`, and those of failure
+    /// domains ordered after it.
     pub fn offers_around(&self, service: &Name, domain: &Name) -> [&[Arc<Member>]; 3] {
         let offers = self.offers(service);
-        let begins = offers.partition_point(|member| member.domain < *domain);
-        let (before, rest) = offers.split_at(begins);
+        let start = offers.partition_point(|member| member.domain < *domain);
+        let (before, rest) = offers.split_at(start);
         let (within, after) = rest.split_at(rest.partition_point(|m| m.domain == *domain));
         [before, within, after]
     }
 
-    /// Returns one mark per bucket; two tables hold the same where the marks
-    /// are equal.
+    /// Returns one hash for each bucket. Two tables have the same members in a
+    /// bucket if its hashes are equal.
     pub fn marks(&self) -> &[u32] {
-        &self.marks
+        &self.bucket_hashes
     }
 
-    /// Returns the members in the buckets whose mark differs from `marks`.
-    pub fn differing(&self, marks: &[u32]) -> Vec<&Arc<Member>> {
+    /// Returns the members in the buckets whose hash differs from the one in
+    /// `hashes`.
+    pub fn differing(&self, hashes: &[u32]) -> Vec<&Arc<Member>> {
         let differs = |node: &Node| {
             let bucket = bucket(node);
-            marks.get(bucket) != Some(&self.marks[bucket])
+            hashes.get(bucket) != Some(&self.bucket_hashes[bucket])
         };
         self.members
             .values()
--- a/src/state/routing.rs
+++ b/src/state/routing.rs
@@ -1,8 +1,8 @@
-//! A whole version of routes, as a source outside the mesh publishes it.
+//! A complete version of routes, as a source outside the mesh publishes it.
 //!
-//! A [`Table`] is built once from a list of routes and never changed: a request
-//! takes one table when it arrives and keeps it to its end. A table that can't
-//! be used as a whole is not built at all.
+//! A [`Table`] is built from a list of routes and is immutable: a request uses
+//! the table that is current at its arrival until it ends. If any route is
+//! invalid, no table is built.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -16,7 +16,7 @@
     unit::{Size, Span},
 };
 
-/// One version of all routes.
+/// All routes of one version.
 ///
 /// # Example
 ///
@@ -44,99 +44,100 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct Table {
-    /// The version; a later one is greater.
+    /// The version. A later version is greater.
     pub version: u64,
-    /// What callers may send.
+    /// The limits on callers' requests.
     pub limits: Limits,
     routes: BTreeMap<Name, Arc<Route>>,
     hosts: HashMap<String, Prefixes>,
     services: Vec<Name>,
 }
 
-/// What one version changes about another, or a whole version.
+/// The changes from one version to another, or a complete version.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The version that it changes; 0 if it stands for itself.
+    /// The version that it changes; 0 for a complete version.
     pub base: u64,
-    /// The version that comes of it.
+    /// The resulting version.
     pub version: u64,
     /// The limits.
     pub limits: Limits,
     /// All services.
     pub services: Vec<Name>,
-    /// Routes that are new or changed.
+    /// New and changed routes.
     pub put: Vec<Arc<Route>>,
-    /// Routes that are gone.
+    /// The names of removed routes.
     pub gone: Vec<Name>,
 }
 
-/// The routes of one host by prefix.
+/// The routes of one `Host` by path prefix.
 type Prefixes = BTreeMap<String, Arc<Route>>;
 
-/// Which requests go to which services, and how.
+/// Which requests are sent to which services, and how.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Route {
     /// The name, for logs and metrics.
     pub name: Name,
     /// The `Host` of its requests, without port.
     pub host: String,
-    /// The start of their paths; begins and ends with a slash.
+    /// The prefix of their paths; begins and ends with a slash.
     pub prefix: String,
     /// Whether its requests may run more than once.
     pub kind: Kind,
-    /// The longest that a caller waits for an answer.
+    /// The longest time that a caller waits for an answer.
     pub timeout: Span,
-    /// The time within which an answer is worth most. It may be beyond the timeout:
-    /// operators shorten timeouts alone, and a version must not be refused for it.
+    /// The time within which an answer has its full value. It may be longer than the
+    /// timeout: operators shorten a timeout without the objective, and a version must not
+    /// be rejected for that.
     pub objective: Span,
-    /// Its rank where room is short; 0 goes first.
+    /// The priority of its requests when capacity is short; 0 is the highest.
     pub priority: u8,
-    /// Targets that may be sent one request, the first included.
+    /// The number of targets that one request may be sent to, including the first.
     pub attempts: u32,
-    /// The services that share its requests; never empty.
+    /// The services among which its requests are divided; never empty.
     pub parts: Vec<Part>,
 }
 
-/// One service's share of a route.
+/// One service's share of a route's requests.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Part {
     /// The service.
     pub service: Name,
-    /// Its share, relative to the other parts; 0 gets nothing.
+    /// Its weight relative to the other parts; 0 gets no requests.
     pub weight: u32,
 }
 
 /// How often a request may run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum Kind {
-    /// Any number of times, with the same effect.
+    /// Any number of times, with the same effect as once.
     Idempotent,
-    /// Once at most.
+    /// At most once.
     Once,
 }
 
-/// What callers may send, and how long they may take.
+/// The limits on the size and duration of callers' requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Limits {
-    /// The longest head of a request.
+    /// The maximum size of a request's head.
     pub head: Size,
-    /// The longest body of a request.
+    /// The maximum size of a request's body.
     pub body: Size,
-    /// The longest time for a request's head.
+    /// The maximum time to receive a request's head.
     pub head_timeout: Span,
-    /// How long an unused connection, or a body midway, may stand still.
+    /// The maximum time without data on an unused connection or within a body.
     pub idle_timeout: Span,
 }
 
-/// Why routes make no table.
+/// Why a list of routes or a change of them is invalid.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Error {
-    /// A route leads to a service that is not listed.
+    /// A route refers to a service that is not listed.
     #[error("route {route}: no service {service}")]
     Service {
         /// The route.
         route: Name,
-        /// What it leads to.
+        /// The unlisted service.
         service: Name,
     },
     /// A value is out of bounds.
@@ -150,26 +151,26 @@
     /// Two routes have the same name.
     #[error("two routes are named {0}")]
     Name(Name),
-    /// A change is of another version than the one held.
+    /// A change applies to another version than the current one.
     #[error("a change of version {base} does not fit version {held}")]
     Base {
         /// The version that it changes.
         base: u64,
-        /// The version held.
+        /// The current version, 0 if there is none.
         held: u64,
     },
-    /// Two routes answer to the same host and prefix.
+    /// Two routes have the same host and prefix.
     #[error("routes {one} and {other} have the same host and prefix")]
     Twice {
-        /// The one that came first.
+        /// The name of the first route.
         one: Name,
-        /// The one that came second.
+        /// The name of the second route.
         other: Name,
     },
 }
 
 impl Default for Limits {
-    /// What a process holds callers to while it knows no version.
+    /// Returns the limits that a process applies until it has received a version.
     fn default() -> Self {
         Self {
             head: Size::from_bytes(16 << 10),
@@ -181,11 +182,11 @@
 }
 
 impl Table {
-    /// Returns the table of `routes`, which may lead to `services` alone.
+    /// Returns the table of `routes`, which may refer only to `services`.
     ///
     /// # Errors
     ///
-    /// The first route that can't be used; the others are then not used either.
+    /// The first invalid route. No route is then used.
     pub fn new(
         version: u64,
         routes: Vec<Route>,
@@ -194,14 +195,14 @@
     ) -> Result<Self, Error> {
         let mut named = BTreeMap::new();
         for route in routes {
-            if let Some(twin) = named.insert(route.name.clone(), Arc::new(route)) {
-                return Err(Error::Name(twin.name.clone()));
+            if let Some(duplicate) = named.insert(route.name.clone(), Arc::new(route)) {
+                return Err(Error::Name(duplicate.name.clone()));
             }
         }
-        Self::of(version, named, services, limits)
+        Self::from_named(version, named, services, limits)
     }
 
-    fn of(
+    fn from_named(
         version: u64,
         routes: BTreeMap<Name, Arc<Route>>,
         services: Vec<Name>,
@@ -227,41 +228,43 @@
         })
     }
 
-    /// Returns what this version changes about `base`; about nothing, the whole.
+    /// Returns the changes from `base` to this version, or the complete version if
+    /// `base` is `None`.
     ///
-    /// A version of hundreds of routes mostly repeats the one before, and thin
-    /// links can't carry it whole several times a second.
+    /// A version of hundreds of routes mostly repeats the previous one, and slow
+    /// links can't carry complete versions several times a second.
     pub fn since(&self, base: Option<&Self>) -> Delta {
-        let before = |name: &Name| base.and_then(|base| base.routes.get(name));
+        let in_base = |name: &Name| base.and_then(|base| base.routes.get(name));
         let put = self
             .routes
             .values()
-            .filter(|route| before(&route.name) != Some(route));
-        let gone = base.iter().flat_map(|base| base.routes.keys());
-        let gone = gone.filter(|name| !self.routes.contains_key(*name));
+            .filter(|route| in_base(&route.name) != Some(route));
+        let removed = base.iter().flat_map(|base| base.routes.keys());
+        let removed = removed.filter(|name| !self.routes.contains_key(*name));
         Delta {
             base: base.map_or(0, |base| base.version),
             version: self.version,
             limits: self.limits,
             services: self.services.clone(),
             put: put.cloned().collect(),
-            gone: gone.cloned().collect(),
+            gone: removed.cloned().collect(),
         }
     }
 
-    /// Returns the version that comes of a change of `held`.
+    /// Returns the version that results from applying `delta` to `current`.
     ///
     /// # Errors
     ///
-    /// If the change is of another version, or what comes of it can't be used.
-    pub fn after(held: Option<&Self>, delta: Delta) -> Result<Self, Error> {
-        let mut routes = match held {
+    /// If the change applies to another version, or the resulting routes are
+    /// invalid.
+    pub fn after(current: Option<&Self>, delta: Delta) -> Result<Self, Error> {
+        let mut routes = match current {
             _ if delta.base == 0 => BTreeMap::new(),
-            Some(held) if held.version == delta.base => held.routes.clone(),
+            Some(current) if current.version == delta.base => current.routes.clone(),
             _ => {
                 return Err(Error::Base {
                     base: delta.base,
-                    held: held.map_or(0, |held| held.version),
+                    held: current.map_or(0, |current| current.version),
                 });
             }
         };
@@ -271,26 +274,28 @@
         for route in delta.put {
             routes.insert(route.name.clone(), route);
         }
-        Self::of(delta.version, routes, delta.services, delta.limits)
+        Self::from_named(delta.version, routes, delta.services, delta.limits)
     }
 
-    /// Returns the route with the longest prefix of `path` at `host`.
+    /// Returns the route of `host` with the longest prefix of `path`.
     ///
-    /// Prefixes end with a slash, so only the cuts of `path` behind a slash are
-    /// looked up: the cost grows with the depth of the path, not with the
-    /// number of routes.
+    /// Prefixes end with a slash, so only the prefixes of `path` that end with one
+    /// are looked up: the cost grows with the number of segments of the path, not
+    /// with the number of routes.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let prefixes = self.hosts.get(host)?;
-        let cuts = path.rmatch_indices('/').map(|(at, _)| &path[..=at]);
-        cuts.into_iter().find_map(|cut| prefixes.get(cut))
+        let candidates = path.rmatch_indices('/').map(|(end, _)| &path[..=end]);
+        candidates
+            .into_iter()
+            .find_map(|prefix| prefixes.get(prefix))
     }
 
-    /// Returns whether `service` is part of this version.
+    /// Returns whether `service` is listed in this version.
     pub fn has_service(&self, service: &Name) -> bool {
         self.services.contains(service)
     }
 
-    /// Returns whether there is a route of this name.
+    /// Returns whether this version has a route named `name`.
     pub fn has_route(&self, name: &Name) -> bool {
         self.routes.contains_key(name)
     }
