--- a/src/state/fingerprint.rs
+++ b/src/state/fingerprint.rs
@@ -1,17 +1,17 @@
-//! The content of a request, in a form that nodes can compare.
+//! Fingerprints of requests, by which nodes recognise requests with the same content.
 
 use std::{fmt, str::FromStr};
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 
-/// Bytes of a fingerprint: wide enough that nobody can make two requests that share one,
-/// which takes some 2^64 tries.
-const WIDTH: usize = 16;
+/// The length of a fingerprint in bytes. At this length nobody can construct two requests
+/// with the same fingerprint, because that takes about 2^64 attempts.
+const LENGTH_BYTES: usize = 16;
 
-/// What makes two requests alike for a target: the same method, host, path and body.
+/// The hash of a request's method, host, path and body.
 ///
-/// Who sends it is left out. A request that comes by nodes beside different services bears
-/// different callers, and would end targets anew for each of them.
+/// The caller is left out. A request that arrives through nodes beside different services
+/// has different callers, and would otherwise crash targets again for each of them.
 ///
 /// # Example
 ///
@@ -21,41 +21,42 @@
 /// let lookup = |path: &str| Fingerprint::of(&[b"GET", path.as_bytes()]);
 /// assert_eq!(lookup("/card/7"), lookup("/card/7"));
 /// assert_ne!(lookup("/card/7"), lookup("/card/8"));
-/// // Where one part ends and the next begins counts.
+/// // The boundaries between the parts matter.
 /// assert_ne!(Fingerprint::of(&[b"ab", b"c"]), Fingerprint::of(&[b"a", b"bc"]));
 /// assert_eq!(lookup("/card/7").to_string().parse(), Ok(lookup("/card/7")));
 /// ```
 ///
-/// Messages for people have it as text, records and messages of nodes as bytes.
+/// Human-readable formats represent it as text; records and messages of nodes represent it
+/// as bytes.
 #[derive(Clone, Copy, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Fingerprint(u128);
 
-/// A text that is not a fingerprint.
+/// Why a text can't be parsed as a fingerprint.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("`{0}` is not a fingerprint: 32 hexadecimal digits")]
 pub struct Error(String);
 
 impl Fingerprint {
-    /// Returns the fingerprint of a content with these parts, in this order.
+    /// Returns the fingerprint of a request with these parts, in this order.
     pub fn of(parts: &[&[u8]]) -> Self {
         let mut hasher = blake3::Hasher::new();
         for part in parts {
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
-        let mut bytes = [0; WIDTH];
+        let mut bytes = [0; LENGTH_BYTES];
         hasher.finalize_xof().fill(&mut bytes);
         Self(u128::from_le_bytes(bytes))
     }
 }
 
 impl Fingerprint {
-    /// Returns a half of it that its place does not depend on.
+    /// Returns the upper half of the bits, which [`Fingerprint::place`] does not use.
     pub fn short(&self) -> u64 {
         (self.0 >> 64) as u64
     }
 
-    /// Returns its place among so many.
+    /// Returns its index in a table with `places` entries.
     pub fn place(&self, places: usize) -> usize {
         self.0 as u64 as usize % places.max(1)
     }
@@ -98,7 +99,7 @@
     fn from_str(text: &str) -> Result<Self, Error> {
         let bits = u128::from_str_radix(text, 16);
         match bits {
-            Ok(bits) if text.len() == 2 * WIDTH => Ok(Self(bits)),
+            Ok(bits) if text.len() == 2 * LENGTH_BYTES => Ok(Self(bits)),
             _ => Err(Error(text.into())),
         }
     }
--- a/src/state/resource.rs
+++ b/src/state/resource.rs
@@ -1,5 +1,5 @@
-//! What operators publish: failure domains, services, policies, boundaries
-//! and routes.
+//! The resources that operators publish: failure domains, services, policies,
+//! boundaries and routes.
 
 use std::{fmt, str::FromStr};
 
@@ -20,15 +20,17 @@
     Domain(Domain),
     /// A service and its labels.
     Service(Service),
-    /// How requests of services are limited, timed and repeated.
+    /// The limits, timeouts and retries of services' requests.
     Policy(Policy),
-    /// Where traffic of services may go.
+    /// The failure domains to which traffic of services may be sent.
     Boundary(Boundary),
-    /// Which requests lead to which service.
+    /// Which requests are sent to which service.
     Route(Route),
 }
 
-/// The kinds of [`Resource`], in the order in which they may refer back.
+/// The kinds of [`Resource`].
+///
+/// A resource refers by name only to resources of kinds that come before its own.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
@@ -44,7 +46,7 @@
     Route,
 }
 
-/// The identity of a resource, written `kind/name`.
+/// The identifier of a resource, written `kind/name`.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Key {
@@ -58,7 +60,7 @@
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Domain {
-    /// The name that nodes give in their settings.
+    /// The name by which the settings of nodes refer to it.
     pub name: Name,
     /// Labels that boundaries select by, such as a region or jurisdiction.
     #[serde(default)]
@@ -78,31 +80,32 @@
     pub policy: Name,
 }
 
-/// How requests are limited, timed and repeated.
+/// The limits, timeouts and retries of requests.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Policy {
-    /// The name services refer to.
+    /// The name by which services refer to it.
     pub name: Name,
-    /// The longest a request may take, from its arrival at the first proxy
-    /// to the start of its answer.
+    /// The longest time from a request's arrival at the first proxy to the start
+    /// of its answer.
     pub timeout: Span,
-    /// Requests that one target runs at a time.
+    /// The number of requests that one target runs at a time.
     pub slots: u32,
-    /// Requests that wait for a slot, per target. Unless it is 0, a class of
-    /// which none waits has one more place of its own.
+    /// The number of requests that may wait for a slot of one target. Unless it is
+    /// 0, one request of a class that has none waiting may wait beyond it.
     pub queue: u32,
-    /// Who goes first when slots are short.
+    /// The class of its requests, which decides who goes first when slots are short.
     pub class: Class,
     /// Which requests may run more than once.
     pub repeat: Repeat,
-    /// Retries and hedges, as a share of first attempts.
+    /// The limit on retries and hedged requests, as a share of first attempts.
     #[serde(default = "default_retry")]
     pub retry: Percent,
-    /// Sends a second copy of a repeatable request after this wait.
+    /// The wait after which a second copy of a repeatable request is sent; no copy if
+    /// absent.
     #[serde(default)]
     pub hedge_after: Option<Span>,
-    /// The largest request body.
+    /// The maximum size of a request body.
     #[serde(default = "default_body")]
     pub max_body: Size,
 }
@@ -119,11 +122,11 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Class {
-    /// Someone stands and waits: fare rules, revoked cards, quotes.
+    /// A person is waiting for the answer: fare rules, revoked cards, quotes.
     Critical,
     /// Ordinary calls.
     Normal,
-    /// Uploads and reports: last, but never starved.
+    /// Uploads and reports. Served last, but never starved.
     Bulk,
 }
 
@@ -138,7 +141,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Repeat {
-    /// Requests whose method HTTP calls idempotent.
+    /// Requests whose method is idempotent according to HTTP.
     ByMethod,
     /// Every request.
     Always,
@@ -146,12 +149,12 @@
     Never,
 }
 
-/// Where traffic of the selected services may go.
+/// The failure domains to which traffic of the selected services may be sent.
 ///
-/// A request may go to a failure domain only if at least one boundary applies
-/// to it and every boundary that applies has the failure domain in `to`.
-/// Without a boundary it may go nowhere: deleting one must never widen where
-/// regulated data travels.
+/// A request may be sent to a failure domain only if at least one boundary
+/// applies to the request and `to` of every boundary that applies selects the
+/// failure domain. Without a boundary it may not be sent at all, so that deleting
+/// the last one never allows regulated data to reach more failure domains.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Boundary {
@@ -165,36 +168,36 @@
     /// The sending proxies it applies to.
     #[serde(default = "Selector::everything")]
     pub proxies: Selector,
-    /// The failure domains that may be sent to.
+    /// The failure domains to which requests may be sent.
     pub to: Selector,
 }
 
-/// Which requests lead to which service.
+/// Which requests are sent to which service.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
     /// The name.
     pub name: Name,
-    /// The `Host` this route answers to, without port; all if absent.
+    /// The `Host` of its requests, without port; any if absent.
     #[serde(default)]
     pub host: Option<String>,
-    /// The path this route answers below; whole segments count.
+    /// The path prefix of its requests, compared by whole segments.
     pub path: String,
-    /// The methods this route answers to; all if empty.
+    /// The methods of its requests; any if empty.
     #[serde(default)]
     pub methods: Vec<String>,
-    /// The service it leads to.
+    /// The service to which its requests are sent.
     pub service: Name,
-    /// The class of its requests, in place of the policy's.
+    /// The class of its requests; the policy's if absent.
     #[serde(default)]
     pub class: Option<Class>,
-    /// The proxies that carry this route.
+    /// The proxies that use this route.
     #[serde(default = "Selector::everything")]
     pub proxies: Selector,
 }
 
 impl Resource {
-    /// Returns the identity of the resource.
+    /// Returns the key of the resource.
     pub fn key(&self) -> Key {
         let (kind, name) = match self {
             Self::Domain(r) => (Kind::Domain, &r.name),
@@ -209,7 +212,7 @@
         }
     }
 
-    /// Returns the labels, for the kinds that have them.
+    /// Returns the labels of the resource, or `None` if its kind has no labels.
     pub fn labels_mut(&mut self) -> Option<&mut Labels> {
         match self {
             Self::Domain(r) => Some(&mut r.labels),
@@ -242,19 +245,19 @@
     Route: "route",
 }
 
-/// A text that is not a kind, class or key of resources.
+/// Why a text can't be parsed as a kind, class or key.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum Error {
-    /// The kind is unknown.
+    /// The text is not a kind.
     #[error("`{0}` is not a kind: use domain, policy, service, boundary or route")]
     Kind(String),
-    /// The class is unknown.
+    /// The text is not a class.
     #[error("`{0}` is not a class: use critical, normal or bulk")]
     Class(String),
-    /// The `/` is missing.
+    /// The key has no `/`.
     #[error("`{0}` is not a key, for example `service/balance`")]
     Key(String),
-    /// The name is not a name.
+    /// The name in the key is invalid.
     #[error(transparent)]
     Name(#[from] id::Error),
 }
--- a/src/state/version.rs
+++ b/src/state/version.rs
@@ -4,23 +4,25 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How far a state has come along the log.
+/// The position of a state in the log.
 ///
-/// `offset` is the log offset that comes next, so 0 is "nothing applied".
-/// `epoch` counts recoveries after the log lost its end: within one epoch
-/// offsets only grow, and a later epoch is newer whatever its offset.
+/// `offset` is the offset of the next record, so 0 means that no record has been
+/// applied. `epoch` counts recoveries after the log has lost its last records:
+/// within one epoch offsets only grow, and a state of a later epoch is newer at any
+/// offset.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
 pub struct Version {
-    /// Recoveries so far. First, because it decides the order.
+    /// The number of recoveries. Must be the first field, because the derived order
+    /// compares it first.
     pub epoch: u32,
-    /// The log offset that comes next.
+    /// The log offset of the next record.
     pub offset: u64,
 }
 
 impl Version {
-    /// Returns the version that follows once the record at `offset` is applied.
+    /// Returns the version after the record at `offset` is applied.
     pub const fn after(self, offset: u64) -> Self {
         Self {
             epoch: self.epoch,
@@ -28,7 +30,7 @@
         }
     }
 
-    /// Returns whether anything has been applied at all.
+    /// Returns whether no record has been applied.
     pub const fn is_empty(self) -> bool {
         self.epoch == 0 && self.offset == 0
     }
@@ -40,7 +42,7 @@
     }
 }
 
-/// A text that is not a version.
+/// Why a text can't be parsed as a version.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("`{0}` is not a version, for example `0.42`")]
 pub struct Error(String);
--- a/src/state/view.rs
+++ b/src/state/view.rs
@@ -1,8 +1,8 @@
-//! What one proxy needs of the whole configuration.
+//! The part of the configuration that one proxy needs.
 //!
-//! A view is built for one proxy: its routes, the services they lead to, and
-//! for each service its policy and the failure domains this proxy may send it
-//! to. A route is never in a view without everything it refers to.
+//! A view contains the proxy's routes, their services and, for each service, its
+//! policy and the failure domains to which the proxy may send its requests. A
+//! view that contains a route also contains everything the route refers to.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -19,7 +19,7 @@
     },
 };
 
-/// Who a view is for.
+/// The proxy for which a view is built.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Proxy {
     /// The failure domain the proxy is in.
@@ -28,18 +28,21 @@
     pub labels: Labels,
 }
 
-/// One proxy's view of one version. Never changed; a new version is a new
-/// view that shares what stayed.
+/// One proxy's view of one version.
+///
+/// A view is immutable. The view of a new version shares the routes and services
+/// that did not change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct View {
     /// The version.
     pub version: Version,
-    /// The proxy it was built for.
+    /// The proxy for which it was built.
     pub proxy: Proxy,
-    /// All resources, for what is asked about other proxies.
+    /// All resources, for questions about other proxies.
     pub set: Arc<Set>,
     routes: BTreeMap<Name, Arc<Route>>,
-    order: Vec<Arc<Route>>,
+    /// The routes, most specific first.
+    by_specificity: Vec<Arc<Route>>,
     services: BTreeMap<Name, Arc<Service>>,
 }
 
@@ -50,29 +53,31 @@
     pub name: Name,
     /// Its policy.
     pub policy: Policy,
-    /// The failure domains this proxy may send to, and how far they are.
+    /// The failure domains to which this proxy may send its requests, with their
+    /// distance.
     pub allowed: BTreeMap<Name, Distance>,
 }
 
-/// How far a failure domain is from the proxy.
+/// The distance of a failure domain from the proxy.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Distance {
-    /// The proxy is in it.
+    /// The proxy's own failure domain.
     Domain,
-    /// It has the same `region` label.
+    /// Another failure domain with the same `region` label.
     Region,
-    /// It is elsewhere.
+    /// A failure domain of another region, or one of the two has no region.
     Beyond,
 }
 
-/// The label of failure domains that says which are close to each other.
+/// The label key of the region of a failure domain. Failure domains of the same
+/// region are close to each other.
 pub const REGION: &str = "region";
 
 impl View {
-    /// Returns the view of `proxy`, built from nothing.
+    /// Returns the view of `proxy`, built from all resources.
     pub fn new(version: Version, set: Arc<Set>, proxy: Proxy) -> Self {
         let touched = Touched {
-            keys: set.iter().map(|held| held.resource.key()).collect(),
+            keys: set.iter().map(|stored| stored.resource.key()).collect(),
             services: set.services().map(|s| s.name.clone()).collect(),
         };
         let empty = Self {
@@ -80,41 +85,42 @@
             proxy,
             set: Arc::default(),
             routes: BTreeMap::new(),
-            order: Vec::new(),
+            by_specificity: Vec::new(),
             services: BTreeMap::new(),
         };
         empty.next(version, set, &touched)
     }
 
-    /// Returns the view after changes that `touched` some resources.
+    /// Returns the view of a later version, which differs in what `touched` names.
     pub fn next(&self, version: Version, set: Arc<Set>, touched: &Touched) -> Self {
         let mut next = Self {
             version,
             set,
             ..self.clone()
         };
-        let mut reordered = false;
+        let mut has_route_changes = false;
         for key in touched.keys.iter().filter(|key| key.kind == Kind::Route) {
-            reordered |= next.project_route(key);
+            has_route_changes |= next.project_route(key);
         }
-        let refers = |route: &Arc<Route>| touched.services.contains(&route.service);
-        let services: BTreeSet<Name> = next
+        let is_touched = |route: &Arc<Route>| touched.services.contains(&route.service);
+        let routed_services: BTreeSet<Name> = next
             .routes
             .values()
-            .filter(|r| refers(r))
+            .filter(|r| is_touched(r))
             .map(|r| r.service.clone())
             .collect();
         for name in &touched.services {
-            next.project_service(name, services.contains(name));
+            next.project_service(name, routed_services.contains(name));
         }
-        if reordered {
+        if has_route_changes {
             next.sort();
         }
         next
     }
 
+    /// Updates the route `key`. Returns whether the routes may have changed.
     fn project_route(&mut self, key: &Key) -> bool {
-        let found = match self.set.get(key).map(|held| &held.resource) {
+        let found = match self.set.get(key).map(|stored| &stored.resource) {
             Some(Resource::Route(route)) if route.proxies.matches(&self.proxy.labels) => {
                 Some(route.clone())
             }
@@ -129,15 +135,21 @@
         }
     }
 
-    fn project_service(&mut self, name: &Name, routed: bool) {
-        let projected = if routed { self.service_of(name) } else { None };
+    /// Updates the service `name`. `is_routed` is whether a route of the view refers
+    /// to it.
+    fn project_service(&mut self, name: &Name, is_routed: bool) {
+        let projected = if is_routed {
+            self.build_service(name)
+        } else {
+            None
+        };
         match projected {
             Some(service) => self.services.insert(name.clone(), Arc::new(service)),
             None => self.services.remove(name),
         };
     }
 
-    fn service_of(&self, name: &Name) -> Option<Service> {
+    fn build_service(&self, name: &Name) -> Option<Service> {
         let policy = self.set.policy(&self.set.service(name)?.policy)?.clone();
         let allowed = allowed(
             &self.set,
@@ -145,8 +157,8 @@
             &self.proxy.domain,
             Some(&self.proxy.labels),
         );
-        let distanced = |domain: Name| (domain.clone(), self.distance(&domain));
-        let allowed = allowed.into_iter().map(distanced).collect();
+        let with_distance = |domain: Name| (domain.clone(), self.distance(&domain));
+        let allowed = allowed.into_iter().map(with_distance).collect();
         Some(Service {
             name: name.clone(),
             policy,
@@ -156,30 +168,32 @@
 
     fn distance(&self, to: &Name) -> Distance {
         let region = |name: &Name| self.set.domain(name)?.labels.get(REGION);
-        let here = region(&self.proxy.domain);
+        let own_region = region(&self.proxy.domain);
         match *to == self.proxy.domain {
             true => Distance::Domain,
-            false if here.is_some() && here == region(to) => Distance::Region,
+            false if own_region.is_some() && own_region == region(to) => Distance::Region,
             false => Distance::Beyond,
         }
     }
 
-    /// Sorts the routes so that the first that matches is the most specific.
+    /// Sorts the routes so that the first match for a request is the most specific.
     fn sort(&mut self) {
-        self.order = self.routes.values().cloned().collect();
-        self.order.sort_by(|a, b| {
-            let weight = |r: &Route| (r.host.is_some(), r.path.len(), !r.methods.is_empty());
-            weight(b).cmp(&weight(a)).then_with(|| a.name.cmp(&b.name))
+        self.by_specificity = self.routes.values().cloned().collect();
+        self.by_specificity.sort_by(|a, b| {
+            let specificity = |r: &Route| (r.host.is_some(), r.path.len(), !r.methods.is_empty());
+            specificity(b)
+                .cmp(&specificity(a))
+                .then_with(|| a.name.cmp(&b.name))
         });
     }
 
     /// Returns the most specific route for a request.
     pub fn route(&self, host: Option<&str>, path: &str, method: &str) -> Option<&Arc<Route>> {
-        self.order.iter().find(|route| {
+        self.by_specificity.iter().find(|route| {
             let host_fits = route
                 .host
                 .as_deref()
-                .is_none_or(|wanted| Some(wanted) == host);
+                .is_none_or(|required| Some(required) == host);
             let method_fits = route.methods.is_empty() || route.methods.iter().any(|m| m == method);
             host_fits && method_fits && is_below(path, &route.path)
         })
@@ -187,17 +201,17 @@
 
     /// Returns the routes, most specific first.
     pub fn routes(&self) -> &[Arc<Route>] {
-        &self.order
+        &self.by_specificity
     }
 
-    /// Returns a service that a route of this view leads to.
+    /// Returns the service of a route of this view by name.
     pub fn service(&self, name: &Name) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
 }
 
-/// Returns whether `path` is `prefix` or lies below it, by whole segments:
-/// `/fare` must not catch `/farewell`.
+/// Returns whether `path` is `prefix` or lies below it. Only whole segments match:
+/// `/fare` must not match `/farewell`.
 fn is_below(path: &str, prefix: &str) -> bool {
     let Some(rest) = path.strip_prefix(prefix) else {
         return false;
@@ -208,8 +222,9 @@
 /// Returns the failure domains to which a proxy in `from` with `labels` may
 /// send requests of `service`.
 ///
-/// Without `labels` (the proxy is not known here yet) every boundary counts
-/// that might apply, so that ignorance can only make the answer stricter.
+/// Without `labels`, because the proxy is not known yet, every boundary that might
+/// apply is taken to apply, so that missing labels can only make the result
+/// stricter.
 pub fn allowed(set: &Set, service: &Name, from: &Name, labels: Option<&Labels>) -> BTreeSet<Name> {
     let (Some(service), Some(sender)) = (set.service(service), set.domain(from)) else {
         return BTreeSet::new();
@@ -223,8 +238,8 @@
     if applying.is_empty() {
         return BTreeSet::new();
     }
-    let open = set
+    let allowed = set
         .domains()
         .filter(|domain| applying.iter().all(|b| b.to.matches(&domain.labels)));
-    open.map(|domain| domain.name.clone()).collect()
+    allowed.map(|domain| domain.name.clone()).collect()
 }
