--- a/tests/naive/mod.rs
+++ b/tests/naive/mod.rs
@@ -1,5 +1,5 @@
-//! The naive version: it keeps a plain list, looks at everything after every
-//! change and computes every view from nothing. Slow, and plainly right.
+//! The naive implementation, simple enough to be checked by reading. It keeps a list of
+//! resources, checks all of them after every change and computes every view from scratch.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,25 +18,25 @@
 }
 
 impl Mesh {
-    /// Applies a change; returns whether it is accepted.
+    /// Applies a change. Returns whether it is accepted.
     pub fn apply(&mut self, ops: &[Op]) -> bool {
         let mut next = self.clone();
-        let done = ops.iter().all(|op| next.step(op));
-        let accepted = done && next.is_sound();
-        if accepted {
+        let is_applied = ops.iter().all(|op| next.apply_op(op));
+        let is_accepted = is_applied && next.is_valid();
+        if is_accepted {
             *self = next;
         }
-        accepted
+        is_accepted
     }
 
-    fn step(&mut self, op: &Op) -> bool {
-        let at = self.resources.iter().position(|r| r.key() == op.key());
-        match (op, at) {
+    fn apply_op(&mut self, op: &Op) -> bool {
+        let index = self.resources.iter().position(|r| r.key() == op.key());
+        match (op, index) {
             (Op::Put(resource), None) => self.resources.push(resource.clone()),
-            (Op::Put(resource), Some(at)) => self.resources[at] = resource.clone(),
-            (Op::Delete(_), Some(at)) => drop(self.resources.remove(at)),
-            (Op::Label { set, remove, .. }, Some(at)) => {
-                let Some(labels) = self.resources[at].labels_mut() else {
+            (Op::Put(resource), Some(index)) => self.resources[index] = resource.clone(),
+            (Op::Delete(_), Some(index)) => drop(self.resources.remove(index)),
+            (Op::Label { set, remove, .. }, Some(index)) => {
+                let Some(labels) = self.resources[index].labels_mut() else {
                     return false;
                 };
                 labels.extend(set.clone());
@@ -47,6 +47,7 @@
         true
     }
 
+    /// Returns the resources in the order of their keys.
     pub fn sorted(&self) -> Vec<Resource> {
         let by_key: BTreeMap<_, _> = self
             .resources
@@ -108,9 +109,9 @@
             .collect()
     }
 
-    fn is_sound(&self) -> bool {
+    fn is_valid(&self) -> bool {
         self.resources.iter().all(|r| self.is_well_formed(r))
-            && self.services().iter().all(|s| self.has_somewhere(s))
+            && self.services().iter().all(|s| self.has_destinations(s))
     }
 
     fn is_well_formed(&self, resource: &Resource) -> bool {
@@ -121,33 +122,33 @@
                 .iter()
                 .any(|r| matches!(r, Resource::Policy(p) if p.name == s.policy)),
             Resource::Policy(p) => {
-                let hedge = p
+                let has_valid_hedge = p
                     .hedge_after
                     .is_none_or(|after| after < p.timeout && p.repeat != Repeat::Never);
-                p.slots > 0 && p.timeout.as_millis() > 0 && hedge
+                p.slots > 0 && p.timeout.as_millis() > 0 && has_valid_hedge
             }
             Resource::Boundary(b) => [&b.services, &b.from, &b.proxies, &b.to]
                 .iter()
-                .all(|s| is_selector(s)),
+                .all(|s| is_valid_selector(s)),
             Resource::Route(r) => {
-                let same = |o: &&&Route| {
+                let has_same_match = |o: &&&Route| {
                     (&o.host, &o.path, &o.methods, &o.proxies)
                         == (&r.host, &r.path, &r.methods, &r.proxies)
                 };
-                let methods = r
+                let has_valid_methods = r
                     .methods
                     .iter()
                     .all(|m| !m.is_empty() && m.chars().all(|c| c.is_ascii_uppercase()));
                 r.path.starts_with('/')
-                    && methods
-                    && is_selector(&r.proxies)
+                    && has_valid_methods
+                    && is_valid_selector(&r.proxies)
                     && self.services().iter().any(|s| s.name == r.service)
-                    && self.routes().iter().filter(same).count() == 1
+                    && self.routes().iter().filter(has_same_match).count() == 1
             }
         }
     }
 
-    fn has_somewhere(&self, service: &Service) -> bool {
+    fn has_destinations(&self, service: &Service) -> bool {
         if !self.routes().iter().any(|r| r.service == service.name) {
             return true;
         }
@@ -167,7 +168,7 @@
             })
     }
 
-    /// Where a proxy may send requests of a service.
+    /// Returns the failure domains to which a proxy may send requests of a service.
     pub fn allowed(&self, service: &Name, from: &Name, labels: &Labels) -> BTreeSet<Name> {
         let mut allowed = BTreeSet::new();
         let Some(service) = self.services().into_iter().find(|s| s.name == *service) else {
@@ -177,25 +178,25 @@
             return allowed;
         };
         for to in self.domains() {
-            let mut applying = 0;
-            let mut open = true;
+            let mut applying_count = 0;
+            let mut is_selected = true;
             for b in self.boundaries() {
                 if matches(&b.services, &service.labels)
                     && matches(&b.from, &from.labels)
                     && matches(&b.proxies, labels)
                 {
-                    applying += 1;
-                    open &= matches(&b.to, &to.labels);
+                    applying_count += 1;
+                    is_selected &= matches(&b.to, &to.labels);
                 }
             }
-            if applying > 0 && open {
+            if applying_count > 0 && is_selected {
                 allowed.insert(to.name.clone());
             }
         }
         allowed
     }
 
-    /// The routes a proxy carries, by name.
+    /// Returns the names of the routes that a proxy with these labels uses.
     pub fn routes_of(&self, labels: &Labels) -> BTreeSet<Name> {
         self.routes()
             .iter()
@@ -205,38 +206,41 @@
     }
 }
 
-/// Whether a selector selects by something and says so rightly.
-pub fn is_selector(selector: &Selector) -> bool {
+/// Returns whether a selector has at least one part and all of its parts are valid.
+pub fn is_valid_selector(selector: &Selector) -> bool {
     let parts = selector.match_labels.len() + selector.match_expressions.len();
-    let expressions = selector.match_expressions.iter().all(|e| match e.operator {
+    let has_valid_expressions = selector.match_expressions.iter().all(|e| match e.operator {
         Operator::In | Operator::NotIn => !e.values.is_empty(),
         Operator::Exists | Operator::DoesNotExist => e.values.is_empty(),
     });
-    (selector.all && parts == 0) || (!selector.all && parts > 0 && expressions)
+    (selector.all && parts == 0) || (!selector.all && parts > 0 && has_valid_expressions)
 }
 
-/// Whether labels meet a selector.
+/// Returns whether labels match a selector.
 pub fn matches(selector: &Selector, labels: &Labels) -> bool {
     for (key, value) in &selector.match_labels {
         if !labels.iter().any(|(k, v)| k == key && v == value) {
             return false;
         }
     }
-    selector.match_expressions.iter().all(|e| meets(e, labels))
+    selector
+        .match_expressions
+        .iter()
+        .all(|e| matches_expression(e, labels))
 }
 
-fn meets(expression: &Expression, labels: &Labels) -> bool {
+fn matches_expression(expression: &Expression, labels: &Labels) -> bool {
     let values: Vec<&String> = labels
         .iter()
         .filter(|(k, _)| **k == expression.key)
         .map(|(_, v)| v)
         .collect();
-    let listed = values
+    let is_listed = values
         .iter()
         .any(|v| expression.values.iter().any(|w| w == *v));
     match expression.operator {
-        Operator::In => listed,
-        Operator::NotIn => !listed,
+        Operator::In => is_listed,
+        Operator::NotIn => !is_listed,
         Operator::Exists => !values.is_empty(),
         Operator::DoesNotExist => values.is_empty(),
     }
--- a/tests/state.rs
+++ b/tests/state.rs
@@ -1,5 +1,5 @@
-//! The state machine, selectors, projection, deltas and snapshots against the
-//! naive version, over random changes with a fixed seed.
+//! Tests of the state machine, selectors, views and snapshots. Some compare them with the
+//! naive implementation, over random changes with a fixed seed.
 
 mod naive;
 
@@ -113,8 +113,9 @@
     ]
 }
 
-/// A sound mesh to begin with, so that many random changes are accepted.
-fn base() -> Vec<Op> {
+/// Returns operations that create a valid mesh, so that many of the random changes to it
+/// are accepted.
+fn initial_ops() -> Vec<Op> {
     let n = |text: &str| text.parse::<Name>().unwrap();
     let policy = Policy {
         name: n("p0"),
@@ -190,7 +191,7 @@
         let proxy = Proxy { domain: "d0".parse().unwrap(), labels: proxy_labels };
         let (mut machine, mut mesh) = (Machine::new(), naive::Mesh::default());
         let mut view = View::new(Version::default(), Arc::default(), proxy.clone());
-        let all = std::iter::once(base()).chain(changes);
+        let all = std::iter::once(initial_ops()).chain(changes);
         for (i, ops) in all.enumerate() {
             let record = record(&machine, &format!("c{i}"), None, ops.clone());
             let applied = machine.apply(i as u64, record).unwrap();
@@ -201,8 +202,8 @@
             let routes: std::collections::BTreeSet<Name> = view.routes().iter().map(|r| r.name.clone()).collect();
             prop_assert_eq!(&routes, &mesh.routes_of(&proxy.labels));
             for route in view.routes() {
-                // No route points at a resource that the proxy lacks.
-                let service = view.service(&route.service).expect("the service is in the view");
+                // The view contains every resource that a route refers to.
+                let service = view.service(&route.service).expect("view contains the service of the route");
                 let allowed: std::collections::BTreeSet<Name> = service.allowed.keys().cloned().collect();
                 prop_assert_eq!(allowed, mesh.allowed(&route.service, &proxy.domain, &proxy.labels));
             }
@@ -212,13 +213,13 @@
     #[test]
     fn selector_agrees_with_naive(selector in selector(), labels in labels()) {
         prop_assert_eq!(selector.matches(&labels), naive::matches(&selector, &labels));
-        prop_assert_eq!(selector.problem().is_none(), naive::is_selector(&selector));
+        prop_assert_eq!(selector.problem().is_none(), naive::is_valid_selector(&selector));
     }
 
     #[test]
     fn unknown_sender_is_never_allowed_more(changes in vec(vec(op(), 1..4), 1..20), labels in labels()) {
         let mut machine = Machine::new();
-        for (i, ops) in std::iter::once(base()).chain(changes).enumerate() {
+        for (i, ops) in std::iter::once(initial_ops()).chain(changes).enumerate() {
             let record = record(&machine, &format!("c{i}"), None, ops);
             apply(&mut machine, record);
         }
@@ -232,23 +233,24 @@
     }
 
     #[test]
-    fn snapshots_and_deltas_lead_to_the_same_state(
-        changes in vec(vec(op(), 1..3), 2..20), cut in 0..20usize, again in 0..20usize
+    fn snapshot_and_later_records_lead_to_the_same_state(
+        changes in vec(vec(op(), 1..3), 2..20), cut in 0..20usize, overlap in 0..20usize
     ) {
         let mut whole = Machine::new();
-        let mut halfway = None;
-        for (i, ops) in std::iter::once(base()).chain(changes).enumerate() {
+        let mut snapshot_at_cut = None;
+        for (i, ops) in std::iter::once(initial_ops()).chain(changes).enumerate() {
             if i == cut {
-                halfway = Some(whole.snapshot());
+                snapshot_at_cut = Some(whole.snapshot());
             }
             let record = record(&whole, &format!("c{i}"), None, ops);
             apply(&mut whole, record);
         }
-        let snapshot = halfway.unwrap_or_else(|| whole.snapshot());
+        let snapshot = snapshot_at_cut.unwrap_or_else(|| whole.snapshot());
         let mut joined = Machine::from_snapshot(&snapshot).unwrap();
-        // Deltas come twice, and from too far back.
-        let from = Version { epoch: 0, offset: joined.version().offset.saturating_sub(again as u64) };
-        let records = whole.records(from).expect("all records are kept");
+        // The records may start before the snapshot's version. The machine rejects those that the
+        // snapshot already contains.
+        let from = Version { epoch: 0, offset: joined.version().offset.saturating_sub(overlap as u64) };
+        let records = whole.records(from).expect("the machine keeps all records");
         for (offset, record) in (from.offset..).zip(records) {
             if offset == joined.version().offset {
                 joined.apply(offset, record).unwrap();
@@ -260,10 +262,10 @@
     }
 
     #[test]
-    fn noise_is_refused_and_never_crashes(noise in vec(any::<u8>(), 0..200), text in "\\PC{0,80}") {
+    fn noise_is_rejected_without_panics(noise in vec(any::<u8>(), 0..200), text in "\\PC{0,80}") {
         let records = [noise.clone(), [b"rt\0\0\0\x01".as_slice(), &noise].concat()];
         for record in records {
-            let mut machine = started();
+            let mut machine = initial_machine();
             let before = machine.set().clone();
             let version = machine.version();
             let applied = machine.apply(version.offset, record.clone().into());
@@ -271,7 +273,7 @@
             prop_assert_eq!(machine.set(), &before);
             prop_assert!(Machine::from_snapshot(&record).is_err());
         }
-        // Decoding may succeed on noise; it must only not panic.
+        // Decoding noise may succeed, but it must not panic.
         let _ = wire::decode::<Frame>(&noise);
         let _ = wire::decode::<Reply>(&noise);
         let _ = wire::decode::<Part>(&noise);
@@ -287,9 +289,9 @@
     }
 
     #[test]
-    fn damaged_snapshot_is_refused_whole(at in 0..10_000usize, bit in 0..8u8, cut in option::of(0..10_000usize)) {
+    fn damaged_snapshot_is_rejected(at in 0..10_000usize, bit in 0..8u8, cut in option::of(0..10_000usize)) {
         let mut machine = Machine::new();
-        let first = record(&machine, "first", None, base());
+        let first = record(&machine, "first", None, initial_ops());
         apply(&mut machine, first);
         let mut bytes = machine.snapshot().to_vec();
         let at = at % bytes.len();
@@ -301,21 +303,22 @@
     }
 }
 
-/// Names each case of a table of tests.
+/// Declares each case as a test.
 macro_rules! cases {
     ($($name:ident => $body:block)*) => {
         $(#[test] fn $name() $body)*
     };
 }
 
-fn started() -> Machine {
+/// Returns a machine with the initial mesh.
+fn initial_machine() -> Machine {
     let mut machine = Machine::new();
-    let first = record(&machine, "first", None, base());
+    let first = record(&machine, "first", None, initial_ops());
     assert_eq!(apply(&mut machine, first), Verdict::Accepted);
     machine
 }
 
-/// A route below `path` to the service that every test begins with.
+/// Returns the operation that adds a route from `path` to the initial service `s0`.
 fn route(name: &str, path: &str) -> Op {
     Op::Put(Resource::Route(Route {
         name: name.parse().unwrap(),
@@ -328,7 +331,8 @@
     }))
 }
 
-fn label(key: &str, value: &str) -> Vec<Op> {
+/// Returns the operation that sets label `a` of the resource `key` to `value`.
+fn set_label(key: &str, value: &str) -> Vec<Op> {
     let set = Labels::from([("a".into(), value.into())]);
     vec![Op::Label {
         key: key.parse().unwrap(),
@@ -338,9 +342,9 @@
 }
 
 cases! {
-    same_change_twice_is_one_change => {
-        let mut machine = started();
-        let record = record(&machine, "once", None, label("service/s0", "x"));
+    repeated_change_applies_once => {
+        let mut machine = initial_machine();
+        let record = record(&machine, "once", None, set_label("service/s0", "x"));
         assert_eq!(apply(&mut machine, record.clone()), Verdict::Accepted);
         let version = machine.version();
         assert_eq!(apply(&mut machine, record), Verdict::Repeated(version));
@@ -348,26 +352,26 @@
     }
 
     rejected_change_repeated_stays_rejected => {
-        let mut machine = started();
-        let record = record(&machine, "bad", None, label("service/none", "x"));
+        let mut machine = initial_machine();
+        let record = record(&machine, "bad", None, set_label("service/none", "x"));
         assert!(matches!(apply(&mut machine, record.clone()), Verdict::Invalid(_)));
         assert!(matches!(apply(&mut machine, record), Verdict::Repeated(_)));
         assert!(matches!(machine.outcome(&"bad".parse().unwrap()).unwrap().verdict, Verdict::Invalid(_)));
     }
 
-    racing_operators_get_one_winner_and_a_conflict => {
-        let mut machine = started();
+    second_of_two_concurrent_changes_to_a_resource_is_a_conflict => {
+        let mut machine = initial_machine();
         let seen = Some(machine.version());
-        let first = record(&machine, "one", seen, label("service/s0", "x"));
-        let second = record(&machine, "two", seen, label("service/s0", "y"));
-        let other = record(&machine, "three", seen, label("domain/d0", "y"));
+        let first = record(&machine, "one", seen, set_label("service/s0", "x"));
+        let second = record(&machine, "two", seen, set_label("service/s0", "y"));
+        let other = record(&machine, "three", seen, set_label("domain/d0", "y"));
         assert_eq!(apply(&mut machine, first), Verdict::Accepted);
         assert_eq!(apply(&mut machine, second), Verdict::Conflict(vec!["service/s0".parse().unwrap()]));
         assert_eq!(apply(&mut machine, other), Verdict::Accepted);
     }
 
-    change_to_what_another_deleted_is_a_conflict => {
-        let mut machine = started();
+    change_to_a_resource_deleted_meanwhile_is_a_conflict => {
+        let mut machine = initial_machine();
         let add = record(&machine, "add", None, vec![Op::Put(Resource::Domain(Domain {
             name: "d1".parse().unwrap(), labels: Labels::new()
         }))]);
@@ -381,22 +385,22 @@
         assert!(matches!(apply(&mut machine, put), Verdict::Conflict(_)));
     }
 
-    bad_change_leaves_no_trace_and_later_ones_go_on => {
-        let mut machine = started();
+    invalid_change_changes_nothing_and_later_ones_apply => {
+        let mut machine = initial_machine();
         let before = resources(&machine);
-        let mut ops = label("service/s0", "x");
+        let mut ops = set_label("service/s0", "x");
         ops.push(Op::Delete(Key { kind: Kind::Policy, name: "p0".parse().unwrap() }));
         let bad = record(&machine, "bad", None, ops);
         assert!(matches!(apply(&mut machine, bad), Verdict::Invalid(_)));
         assert_eq!(resources(&machine), before);
-        let good = record(&machine, "good", None, label("service/s0", "x"));
+        let good = record(&machine, "good", None, set_label("service/s0", "x"));
         assert_eq!(apply(&mut machine, good), Verdict::Accepted);
     }
 
-    label_alone_can_break_a_boundary_and_is_refused => {
-        let mut machine = started();
+    label_change_that_leaves_no_destination_is_rejected => {
+        let mut machine = initial_machine();
         let to = Selector { match_labels: Labels::from([("a".into(), "x".into())]), ..Selector::default() };
-        let mut ops = label("domain/d0", "x");
+        let mut ops = set_label("domain/d0", "x");
         ops.push(Op::Put(Resource::Boundary(Boundary {
             name: "b0".parse().unwrap(),
             services: Selector::everything(),
@@ -407,25 +411,25 @@
         ops.push(route("r0", "/"));
         let setup = record(&machine, "setup", None, ops);
         assert_eq!(apply(&mut machine, setup), Verdict::Accepted);
-        let moved = record(&machine, "moved", None, label("domain/d0", "y"));
+        let moved = record(&machine, "moved", None, set_label("domain/d0", "y"));
         assert!(matches!(apply(&mut machine, moved), Verdict::Invalid(_)));
     }
 
-    record_of_another_history_is_refused => {
-        let mut ours = started();
-        let mut theirs = Machine::new();
+    record_of_another_history_is_rejected => {
+        let mut machine = initial_machine();
+        let mut other = Machine::new();
         let noise = Bytes::from_static(b"another history");
-        apply(&mut theirs, noise);
-        let foreign = record(&theirs, "foreign", None, base());
-        assert_eq!(apply(&mut ours, foreign), Verdict::Foreign);
+        apply(&mut other, noise);
+        let foreign = record(&other, "foreign", None, initial_ops());
+        assert_eq!(apply(&mut machine, foreign), Verdict::Foreign);
     }
 
     change_too_old_to_be_recognised_is_too_old_to_apply => {
-        let mut machine = started();
-        let old = record(&machine, "old", None, label("service/s0", "x"));
+        let mut machine = initial_machine();
+        let old = record(&machine, "old", None, set_label("service/s0", "x"));
         assert_eq!(apply(&mut machine, old.clone()), Verdict::Accepted);
         for i in 0..=WINDOW {
-            let next = record(&machine, &format!("n{i}"), None, label("domain/d0", "x"));
+            let next = record(&machine, &format!("n{i}"), None, set_label("domain/d0", "x"));
             apply(&mut machine, next);
         }
         assert!(machine.outcome(&"old".parse().unwrap()).is_none());
@@ -433,16 +437,16 @@
     }
 
     record_of_newer_rules_stops_the_machine => {
-        let mut machine = started();
-        let mut newer = record(&machine, "newer", None, base()).to_vec();
+        let mut machine = initial_machine();
+        let mut newer = record(&machine, "newer", None, initial_ops()).to_vec();
         newer[2..6].copy_from_slice(&9u32.to_be_bytes());
         let version = machine.version();
         assert!(machine.apply(version.offset, newer.into()).is_err());
         assert_eq!(machine.version(), version);
     }
 
-    restore_goes_on_from_the_state_held_only => {
-        let mut machine = started();
+    restore_continues_only_from_the_current_state => {
+        let mut machine = initial_machine();
         let base = machine.anchor();
         let restore = Restore { base, epoch: 1, author: String::new() };
         let mut other = Machine::new();
@@ -450,13 +454,13 @@
         assert!(machine.restore(0, &restore));
         assert_eq!(machine.version(), Version { epoch: 1, offset: 1 });
         assert!(machine.version() > base.version);
-        let next = record(&machine, "next", None, label("service/s0", "x"));
+        let next = record(&machine, "next", None, set_label("service/s0", "x"));
         assert_eq!(apply(&mut machine, next), Verdict::Accepted);
     }
 
     distance_follows_the_region_label => {
-        let mut machine = started();
-        let mut ops = label("domain/d0", "x");
+        let mut machine = initial_machine();
+        let mut ops = set_label("domain/d0", "x");
         for (name, region) in [("d0", "south"), ("d1", "south"), ("d2", "north")] {
             let labels = Labels::from([(view::REGION.into(), region.into())]);
             ops.push(Op::Put(Resource::Domain(Domain { name: name.parse().unwrap(), labels })));
@@ -472,16 +476,16 @@
     }
 
     path_matches_whole_segments_only => {
-        let mut machine = started();
+        let mut machine = initial_machine();
         let ops = vec![route("fare", "/fare"), route("rules", "/fare/rules")];
         let add = record(&machine, "routes", None, ops);
         assert_eq!(apply(&mut machine, add), Verdict::Accepted);
         let proxy = Proxy { domain: "d0".parse().unwrap(), labels: Labels::new() };
         let view = View::new(machine.version(), machine.set().clone(), proxy);
-        let found = |path: &str| view.route(None, path, "GET").map(|r| r.name.to_string());
-        assert_eq!(found("/fare"), Some("fare".into()));
-        assert_eq!(found("/fare/7"), Some("fare".into()));
-        assert_eq!(found("/fare/rules/1"), Some("rules".into()));
-        assert_eq!(found("/farewell"), None);
+        let find = |path: &str| view.route(None, path, "GET").map(|r| r.name.to_string());
+        assert_eq!(find("/fare"), Some("fare".into()));
+        assert_eq!(find("/fare/7"), Some("fare".into()));
+        assert_eq!(find("/fare/rules/1"), Some("rules".into()));
+        assert_eq!(find("/farewell"), None);
     }
 }
