--- a/src/bin/rilltrackd.rs
+++ b/src/bin/rilltrackd.rs
@@ -1,17 +1,17 @@
-//! The daemon: one small process on each target host.
+//! The daemon: one process on each host with targets.
 
 use std::{path::PathBuf, process::ExitCode};
 
 use argh::FromArgs;
 use rilltrack::{daemon::Daemon, logging, settings::Settings};
 
-/// Runs one node of rilltrack on this host.
+/// Run the node of this host.
 #[derive(FromArgs)]
 struct Args {
     /// the settings file, JSON with comments
     #[argh(option)]
     settings: PathBuf,
-    /// check the settings and end
+    /// check the settings and exit
     #[argh(switch)]
     check: bool,
 }
@@ -38,6 +38,7 @@
     }
 }
 
+/// Starts the daemon, prints its addresses and stops it on SIGTERM or SIGINT.
 fn run(settings: Settings) -> Result<(), Box<dyn std::error::Error>> {
     logging::start(settings.log_file.as_deref())?;
     let daemon = Daemon::start(settings)?;
@@ -45,13 +46,13 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    runtime.block_on(until_told())?;
+    runtime.block_on(wait_for_signal())?;
     daemon.stop();
     Ok(())
 }
 
 /// Waits for SIGTERM or SIGINT.
-async fn until_told() -> std::io::Result<()> {
+async fn wait_for_signal() -> std::io::Result<()> {
     use tokio::signal::unix::{SignalKind, signal};
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
