--- a/src/tool/desk.rs
+++ b/src/tool/client.rs
@@ -1,4 +1,4 @@
-//! The tool's side of a daemon's operators address.
+//! The client for a daemon's operators interface.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,32 +13,32 @@
     transport::{http, tls},
 };
 
-/// How long a daemon may take; it waits for the log in turn.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Maximum time for a daemon's response. The daemon itself may have to wait for the log.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Times a change whose answer got lost is sent again.
-const REPEATS: usize = 3;
+/// Maximum number of attempts to publish a change while its outcome is unknown.
+const PUBLISH_ATTEMPTS: usize = 3;
 
-/// The daemons that may be asked, tried in turn.
-pub struct Desk {
+/// Sends requests to the first reachable one of several daemons.
+pub struct DaemonClient {
     client: reqwest::Client,
     daemons: Vec<SocketAddr>,
     scheme: &'static str,
-    /// Whether answers are wanted in JSON.
+    /// Whether results are printed as JSON.
     pub json: bool,
 }
 
-impl Desk {
-    /// Returns a desk for the daemons named on the command line, or in
-    /// `RILLTRACK_DAEMON`.
+impl DaemonClient {
+    /// Returns a client for `daemons`, or if there are none, for the daemons listed in the
+    /// environment variable `RILLTRACK_DAEMON`, separated by commas.
     pub fn new(
         mut daemons: Vec<SocketAddr>,
         security: &Security,
         json: bool,
     ) -> Result<Self, Failure> {
         if daemons.is_empty() {
-            let named = std::env::var("RILLTRACK_DAEMON").unwrap_or_default();
-            daemons = named
+            let listed = std::env::var("RILLTRACK_DAEMON").unwrap_or_default();
+            daemons = listed
                 .split(',')
                 .filter_map(|text| text.trim().parse().ok())
                 .collect();
@@ -59,18 +59,20 @@
         })
     }
 
+    /// Returns the decoded response to a GET request.
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Failure> {
-        self.ask(|base| self.client.get(format!("{base}/{path}")))
+        self.send(|base| self.client.get(format!("{base}/{path}")))
             .await
     }
 
+    /// Returns the decoded response to a POST request with `body` as JSON.
     pub async fn post<T: DeserializeOwned>(
         &self,
         path: &str,
         body: &impl Serialize,
     ) -> Result<T, Failure> {
-        let body = serde_json::to_vec(body).expect("plain data always encodes");
-        self.ask(|base| {
+        let body = serde_json::to_vec(body).expect("a request body always encodes as JSON");
+        self.send(|base| {
             self.client
                 .post(format!("{base}/{path}"))
                 .body(body.clone())
@@ -78,17 +80,19 @@
         .await
     }
 
+    /// Returns the state of the mesh as the daemon knows it.
     pub async fn status(&self) -> Result<Report, Failure> {
         self.get("status").await
     }
 
-    /// Publishes a change. Sending it again is safe: it is one change, by its
-    /// id, however often it gets to the log.
+    /// Publishes a change and retries it while its outcome is unknown. Retries are
+    /// idempotent: however often the change is appended to the log, its id identifies it and
+    /// it is applied once.
     pub async fn publish(&self, change: &Change) -> Result<Published, Failure> {
         let mut last = Published::Unknown("no daemon answered".into());
-        for _ in 0..REPEATS {
+        for _ in 0..PUBLISH_ATTEMPTS {
             match self.post("changes", change).await {
-                Ok(Published::Unknown(what)) => last = Published::Unknown(what),
+                Ok(Published::Unknown(reason)) => last = Published::Unknown(reason),
                 Ok(published) => return Ok(published),
                 Err(failure) if failure.code == Code::Unknown => {}
                 Err(failure) => return Err(failure),
@@ -97,17 +101,19 @@
         Ok(last)
     }
 
-    async fn ask<T: DeserializeOwned>(
+    /// Sends the request to each daemon in turn until one accepts the connection, and returns
+    /// its decoded response.
+    async fn send<T: DeserializeOwned>(
         &self,
         request: impl Fn(String) -> reqwest::RequestBuilder,
     ) -> Result<T, Failure> {
         let mut last = Failure::new(Code::Unreachable, "no daemon given");
         for daemon in &self.daemons {
-            let sent = request(format!("{}://{daemon}", self.scheme))
-                .timeout(PATIENCE)
+            let result = request(format!("{}://{daemon}", self.scheme))
+                .timeout(REQUEST_TIMEOUT)
                 .send()
                 .await;
-            let response = match sent {
+            let response = match result {
                 Ok(response) => response,
                 Err(error) if error.is_connect() => {
                     last = Failure::new(Code::Unreachable, format!("{daemon} can't be reached"));
@@ -121,8 +127,13 @@
                 }
             };
             let status = response.status();
-            let lost = |_| Failure::new(Code::Unknown, format!("{daemon} broke off"));
-            let body = response.bytes().await.map_err(lost)?;
+            let incomplete = |_| {
+                Failure::new(
+                    Code::Unknown,
+                    format!("{daemon} sent an incomplete response"),
+                )
+            };
+            let body = response.bytes().await.map_err(incomplete)?;
             if !status.is_success() {
                 return Err(Failure::new(
                     Code::Rejected,
--- a/src/tool/mod.rs
+++ b/src/tool/mod.rs
@@ -1,8 +1,8 @@
 //! The operators' command-line tool.
 //!
-//! One subcommand per job. Exit codes, for scripts: see [`Code`].
+//! Each operation is a subcommand. [`Code`] lists the exit codes that scripts can rely on.
 
-mod desk;
+mod client;
 mod show;
 pub mod trace;
 
@@ -26,94 +26,96 @@
     unit::Span,
 };
 
-use self::desk::Desk;
+use self::client::DaemonClient;
 
 /// Exit codes of the tool.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Code {
-    /// Done; a change is accepted.
+    /// The command succeeded; a published change is accepted.
     Accepted = 0,
-    /// The command line makes no sense.
+    /// The command line is invalid or incomplete, or a key, certificate or log file can't be
+    /// read.
     Usage = 2,
-    /// The configuration is wrong; nothing changed.
+    /// The configuration or the request is invalid; nothing changed.
     Rejected = 3,
-    /// Another change came first; nothing changed.
+    /// Another change to the same resource was accepted first; nothing changed.
     Conflict = 4,
-    /// The change may or may not be accepted; publish it again under its id.
+    /// The outcome is unknown: the change may or may not be accepted. Publishing it again
+    /// under the same id is safe. Also returned by `trace` if no line is about the request.
     Unknown = 5,
-    /// No daemon, or no log behind it, could be reached; nothing changed.
+    /// No daemon could be reached, or the daemon could not reach the log; nothing changed.
     Unreachable = 6,
-    /// Accepted, but not in force everywhere in the time given.
+    /// The version is accepted but was not in force on all nodes within the given time.
     Lagging = 7,
 }
 
-/// Operates a mesh: publishes configuration and shows what became of it.
+/// Operate a mesh: publish configuration and show its state.
 #[derive(FromArgs)]
 pub struct Args {
-    /// a daemon's operators address; may be given several times
+    /// a daemon's address for operators; may be given several times
     #[argh(option)]
     daemon: Vec<SocketAddr>,
-    /// your certificate, as a PEM file; needed where nodes use TLS
+    /// your client certificate, a PEM file; required if the nodes use TLS
     #[argh(option)]
     certificate: Option<PathBuf>,
-    /// its key
+    /// the private key of the certificate, a PEM file
     #[argh(option)]
     key: Option<PathBuf>,
-    /// the authority that signed the nodes' certificates
+    /// the certificate of the authority that signs nodes' certificates, a PEM file
     #[argh(option)]
     authority: Option<PathBuf>,
-    /// answer in JSON
+    /// print the result as JSON
     #[argh(switch)]
     json: bool,
     #[argh(subcommand)]
-    job: Job,
+    command: Command,
 }
 
 #[derive(FromArgs)]
 #[argh(subcommand)]
-enum Job {
-    Check(Check),
-    Diff(Diff),
-    Publish(Publish),
-    Label(Label),
-    Status(Status),
-    Wait(Wait),
-    Explain(Explain),
-    Drain(DrainJob),
-    History(HistoryJob),
-    Rollback(Rollback),
-    Recover(Recover),
-    Rollout(RolloutJob),
-    Held(HeldJob),
-    LetGo(LetGoJob),
-    Trace(TraceJob),
+enum Command {
+    Check(CheckArgs),
+    Diff(DiffArgs),
+    Publish(PublishArgs),
+    Label(LabelArgs),
+    Status(StatusArgs),
+    Wait(WaitArgs),
+    Explain(ExplainArgs),
+    Drain(DrainArgs),
+    History(HistoryArgs),
+    Rollback(RollbackArgs),
+    Recover(RecoverArgs),
+    Rollout(RolloutArgs),
+    Held(HeldArgs),
+    LetGo(LetGoArgs),
+    Trace(TraceArgs),
 }
 
-/// Check configuration files, without any daemon.
+/// Check configuration files. No daemon is needed.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
-struct Check {
+struct CheckArgs {
     /// the files
     #[argh(positional)]
     files: Vec<PathBuf>,
 }
 
-/// Show what the logs of some nodes say of one request, without any daemon.
+/// Show the log lines of several nodes about one request. No daemon is needed.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "trace")]
-struct TraceJob {
-    /// the request's id
+struct TraceArgs {
+    /// the id of the request
     #[argh(positional)]
     id: String,
-    /// the logs
+    /// the log files
     #[argh(positional)]
     logs: Vec<PathBuf>,
 }
 
-/// Show how files differ from what is in force.
+/// Show the differences between files and the configuration in force.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "diff")]
-struct Diff {
+struct DiffArgs {
     /// the files
     #[argh(positional)]
     files: Vec<PathBuf>,
@@ -122,23 +124,23 @@
 /// Publish configuration files.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "publish")]
-struct Publish {
+struct PublishArgs {
     /// the files
     #[argh(positional)]
     files: Vec<PathBuf>,
-    /// delete what is in force but not in the files
+    /// delete the resources that are in force but not in the files
     #[argh(switch)]
     prune: bool,
-    /// refuse if a resource changed after this version
+    /// fail with a conflict if one of the resources was changed after this version
     #[argh(option)]
     expect: Option<Version>,
-    /// the change's id, to repeat one whose outcome is unknown
+    /// the id of an earlier change whose outcome is unknown, to publish it again
     #[argh(option)]
     id: Option<id::Change>,
-    /// why, for the history
+    /// the reason for the change, shown in the history
     #[argh(option, default = "String::new()")]
     note: String,
-    /// wait this long until it is in force everywhere
+    /// wait at most this long until the change is in force on all nodes
     #[argh(option)]
     wait: Option<Span>,
 }
@@ -146,101 +148,101 @@
 /// Set (key=value) or remove (key-) labels of a service or failure domain.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "label")]
-struct Label {
+struct LabelArgs {
     /// the resource, as kind/name
     #[argh(positional)]
     key: Key,
-    /// the labels
+    /// the labels, each as key=value or key-
     #[argh(positional)]
     labels: Vec<String>,
-    /// refuse if the resource changed after this version
+    /// fail with a conflict if the resource was changed after this version
     #[argh(option)]
     expect: Option<Version>,
-    /// wait this long until it is in force everywhere
+    /// wait at most this long until the change is in force on all nodes
     #[argh(option)]
     wait: Option<Span>,
 }
 
-/// Show the whole mesh as one daemon knows it.
+/// Show the state of the mesh as one daemon knows it.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
-struct Status {}
+struct StatusArgs {}
 
-/// Wait until a version is in force everywhere.
+/// Wait until a version is in force on all nodes.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "wait")]
-struct Wait {
+struct WaitArgs {
     /// the version
     #[argh(positional)]
     version: Version,
-    /// how long at most
+    /// the maximum wait
     #[argh(option, default = "Span::from_secs(17)")]
     within: Span,
 }
 
-/// Say where a request would go, and why not elsewhere.
+/// Show which targets a request could be routed to, and the reason for each target.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "explain")]
-struct Explain {
-    /// the path
+struct ExplainArgs {
+    /// the path of the request
     #[argh(positional)]
     path: String,
-    /// the method
+    /// the method of the request
     #[argh(option, default = "String::from(\"GET\")")]
     method: String,
-    /// the Host
+    /// the Host header of the request
     #[argh(option)]
     host: Option<String>,
 }
 
-/// Make the target on the daemon's host leave.
+/// Drain the targets on the daemon's host.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "drain")]
-struct DrainJob {
-    /// only the target of this service
+struct DrainArgs {
+    /// drain only the target of this service
     #[argh(option)]
     service: Option<id::Name>,
 }
 
-/// Show the last changes and what was decided on them.
+/// Show the latest changes and their outcomes.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "history")]
-struct HistoryJob {}
+struct HistoryArgs {}
 
-/// Publish an old state as a new version.
+/// Publish the configuration of an earlier version as a new version.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "rollback")]
-struct Rollback {
-    /// the version to go back to
+struct RollbackArgs {
+    /// the version to restore
     #[argh(positional)]
     to: Version,
-    /// wait this long until it is in force everywhere
+    /// wait at most this long until the change is in force on all nodes
     #[argh(option)]
     wait: Option<Span>,
 }
 
-/// Begin a new epoch with the state in force, after the log lost its end.
+/// Begin a new epoch from the state in force, after the log lost its latest records.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "recover")]
-struct Recover {}
+struct RecoverArgs {}
 
-/// Show the requests that a node on the users' platform holds back; --daemon is its peers
-/// address.
+/// Show the requests that a node on the users' platform has quarantined; --daemon is the
+/// node's address for peers.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "held")]
-struct HeldJob {}
+struct HeldArgs {}
 
-/// Show how roll-outs stand, as a node on the users' platform sees them: the stage, the
-/// evidence, what is waited for. --daemon is its peers address.
+/// Show the roll-outs that a node on the users' platform knows: their stage, the evidence
+/// and the condition they wait for. --daemon is the node's address for peers.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "rollout")]
-struct RolloutJob {}
+struct RolloutArgs {}
 
-/// Let a request go that is held back, at every node.
+/// Release a quarantined request on all nodes.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "let-go")]
-struct LetGoJob {
-    /// its content, as `held` shows it
+struct LetGoArgs {
+    /// the fingerprint of the request, as `held` prints it
     #[argh(positional)]
     content: Fingerprint,
 }
@@ -253,69 +255,71 @@
     let Ok(runtime) = runtime else {
         return ExitCode::FAILURE;
     };
-    let code = runtime.block_on(work(args)).unwrap_or_else(|failure| {
-        eprintln!("rilltrack: {}", failure.what);
-        failure.code
-    });
+    let code = runtime
+        .block_on(run_command(args))
+        .unwrap_or_else(|failure| {
+            eprintln!("rilltrack: {}", failure.message);
+            failure.code
+        });
     ExitCode::from(code as u8)
 }
 
-/// Why a job ended early.
+/// A failed command: its exit code and the error message.
 struct Failure {
     code: Code,
-    what: String,
+    message: String,
 }
 
 impl Failure {
-    fn new(code: Code, what: impl Into<String>) -> Self {
+    fn new(code: Code, message: impl Into<String>) -> Self {
         Self {
             code,
-            what: what.into(),
+            message: message.into(),
         }
     }
 }
 
-type Done = Result<Code, Failure>;
+type CommandResult = Result<Code, Failure>;
 
-async fn work(args: Args) -> Done {
+async fn run_command(args: Args) -> CommandResult {
     let json = args.json;
     let security = security(args.certificate, args.key, args.authority)?;
-    if let Job::Check(check) = &args.job {
+    if let Command::Check(check) = &args.command {
         return check_files(check, json);
     }
-    if let Job::Trace(job) = &args.job {
-        return trace::run(&job.id, &job.logs, json);
+    if let Command::Trace(trace) = &args.command {
+        return trace::run(&trace.id, &trace.logs, json);
     }
-    let desk = Desk::new(args.daemon, &security, json)?;
-    match args.job {
-        Job::Check(_) | Job::Trace(_) => Ok(Code::Accepted),
-        Job::Diff(job) => diff(&desk, &job).await,
-        Job::Publish(job) => publish(&desk, job).await,
-        Job::Label(job) => label(&desk, job).await,
-        Job::Status(_) => show::status(&desk.status().await?, json),
-        Job::Wait(job) => wait(&desk, job.version, job.within).await,
-        Job::Explain(job) => explain(&desk, job).await,
-        Job::Drain(job) => {
-            let left: Vec<crate::state::member::Target> = desk
+    let client = DaemonClient::new(args.daemon, &security, json)?;
+    match args.command {
+        Command::Check(_) | Command::Trace(_) => Ok(Code::Accepted),
+        Command::Diff(args) => diff(&client, &args).await,
+        Command::Publish(args) => publish(&client, args).await,
+        Command::Label(args) => label(&client, args).await,
+        Command::Status(_) => show::status(&client.status().await?, json),
+        Command::Wait(args) => wait(&client, args.version, args.within).await,
+        Command::Explain(args) => explain(&client, args).await,
+        Command::Drain(args) => {
+            let targets: Vec<crate::state::member::Target> = client
                 .post(
                     "drain",
                     &Drain {
-                        service: job.service,
+                        service: args.service,
                     },
                 )
                 .await?;
-            show::targets(&left, json)
+            show::targets(&targets, json)
         }
-        Job::Rollout(_) => show::rollouts(&desk.get::<Vec<_>>("rollouts").await?, json),
-        Job::Held(_) => show::held(&desk.get::<Vec<_>>("held").await?, json),
-        Job::LetGo(job) => {
-            let was_held: bool = desk.post("let-go", &job.content).await?;
-            show::let_go(&job.content, was_held)
+        Command::Rollout(_) => show::rollouts(&client.get::<Vec<_>>("rollouts").await?, json),
+        Command::Held(_) => show::quarantined(&client.get::<Vec<_>>("held").await?, json),
+        Command::LetGo(args) => {
+            let was_quarantined: bool = client.post("let-go", &args.content).await?;
+            show::released(&args.content, was_quarantined)
         }
-        Job::History(_) => show::history(&desk.get("history").await?, json),
-        Job::Rollback(job) => rollback(&desk, job).await,
-        Job::Recover(_) => {
-            let version: Version = desk
+        Command::History(_) => show::history(&client.get("history").await?, json),
+        Command::Rollback(args) => rollback(&client, args).await,
+        Command::Recover(_) => {
+            let version: Version = client
                 .post(&format!("recover?author={}", author()), &())
                 .await?;
             println!("a new epoch begins at {version}");
@@ -324,7 +328,8 @@
     }
 }
 
-/// Returns how to reach the daemons: all three files make TLS, none plaintext.
+/// Returns the security of connections to daemons: TLS if all three files are given,
+/// plaintext if none is.
 fn security(
     certificate: Option<PathBuf>,
     key: Option<PathBuf>,
@@ -339,27 +344,27 @@
         })),
         _ => Err(Failure::new(
             Code::Usage,
-            "--certificate, --key and --authority belong together",
+            "--certificate, --key and --authority must be given together",
         )),
     }
 }
 
-/// Reads files by `way`: as the whole configuration or as a part of it.
+/// Reads files by `reader`: either as the whole configuration or as a part of it.
 fn read(
     paths: &[PathBuf],
-    way: fn(&[PathBuf]) -> Result<Files, Vec<Fault>>,
+    reader: fn(&[PathBuf]) -> Result<Files, Vec<Fault>>,
 ) -> Result<Files, Failure> {
     if paths.is_empty() {
         return Err(Failure::new(Code::Usage, "no files given"));
     }
-    way(paths).map_err(|faults| {
+    reader(paths).map_err(|faults| {
         let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
         Failure::new(Code::Rejected, lines.join("\n"))
     })
 }
 
-fn check_files(job: &Check, json: bool) -> Done {
-    let files = read(&job.files, Files::read)?;
+fn check_files(args: &CheckArgs, json: bool) -> CommandResult {
+    let files = read(&args.files, Files::read)?;
     let warnings = files.warnings();
     warnings
         .iter()
@@ -376,38 +381,40 @@
     Ok(Code::Accepted)
 }
 
-async fn diff(desk: &Desk, job: &Diff) -> Done {
-    let files = read(&job.files, Files::read_part)?;
-    let held: Resources = desk.get("resources").await?;
-    let difference = Difference::between(&files, held.held.iter().map(|held| &held.resource));
-    show::difference(&difference, held.anchor.version, desk.json)
+async fn diff(client: &DaemonClient, args: &DiffArgs) -> CommandResult {
+    let files = read(&args.files, Files::read_part)?;
+    let current: Resources = client.get("resources").await?;
+    let difference = Difference::between(&files, current.held.iter().map(|held| &held.resource));
+    show::difference(&difference, current.anchor.version, client.json)
 }
 
-async fn publish(desk: &Desk, job: Publish) -> Done {
-    let files = read(&job.files, Files::read_part)?;
-    let held: Resources = desk.get("resources").await?;
-    let difference = Difference::between(&files, held.held.iter().map(|held| &held.resource));
+async fn publish(client: &DaemonClient, args: PublishArgs) -> CommandResult {
+    let files = read(&args.files, Files::read_part)?;
+    let current: Resources = client.get("resources").await?;
+    let difference = Difference::between(&files, current.held.iter().map(|held| &held.resource));
     let changed = |key: &Key| difference.added.contains(key) || difference.changed.contains(key);
     let mut ops: Vec<Op> = files
         .ops()
         .into_iter()
         .filter(|op| changed(&op.key()))
         .collect();
-    if job.prune {
+    if args.prune {
         ops.extend(difference.removed.iter().cloned().map(Op::Delete));
     }
-    if ops.is_empty() && job.id.is_none() {
-        println!("nothing differs from {}", held.anchor.version);
+    if ops.is_empty() && args.id.is_none() {
+        println!("nothing differs from {}", current.anchor.version);
         return Ok(Code::Accepted);
     }
-    let id = job.id.unwrap_or_else(new_id);
-    let change = operator::change(id, held.anchor, job.expect, &author(), &job.note, ops);
-    settle(desk, &change, Some(&files), job.wait).await
+    let id = args.id.unwrap_or_else(random_change_id);
+    let change = operator::change(id, current.anchor, args.expect, &author(), &args.note, ops);
+    publish_change(client, &change, Some(&files), args.wait).await
 }
 
-async fn label(desk: &Desk, job: Label) -> Done {
-    let (remove, set): (Vec<String>, Vec<String>) =
-        job.labels.into_iter().partition(|text| text.ends_with('-'));
+async fn label(client: &DaemonClient, args: LabelArgs) -> CommandResult {
+    let (remove, set): (Vec<String>, Vec<String>) = args
+        .labels
+        .into_iter()
+        .partition(|text| text.ends_with('-'));
     let set = operator::labels(&set).map_err(|text| {
         Failure::new(
             Code::Usage,
@@ -418,27 +425,41 @@
         .iter()
         .map(|text| text.trim_end_matches('-').to_owned())
         .collect();
-    let held: Resources = desk.get("resources").await?;
+    let current: Resources = client.get("resources").await?;
     let ops = vec![Op::Label {
-        key: job.key,
+        key: args.key,
         set,
         remove,
     }];
-    let change = operator::change(new_id(), held.anchor, job.expect, &author(), "", ops);
-    settle(desk, &change, None, job.wait).await
+    let change = operator::change(
+        random_change_id(),
+        current.anchor,
+        args.expect,
+        &author(),
+        "",
+        ops,
+    );
+    publish_change(client, &change, None, args.wait).await
 }
 
-async fn rollback(desk: &Desk, job: Rollback) -> Done {
-    let old: Resources = desk.get(&format!("resources?at={}", job.to)).await?;
-    let held: Resources = desk.get("resources").await?;
-    let ops = ops_between(&held, &old);
-    let note = format!("back to {}", job.to);
-    let expect = Some(held.anchor.version);
-    let change = operator::change(new_id(), held.anchor, expect, &author(), &note, ops);
-    settle(desk, &change, None, job.wait).await
+async fn rollback(client: &DaemonClient, args: RollbackArgs) -> CommandResult {
+    let old: Resources = client.get(&format!("resources?at={}", args.to)).await?;
+    let current: Resources = client.get("resources").await?;
+    let ops = ops_between(&current, &old);
+    let note = format!("back to {}", args.to);
+    let expect = Some(current.anchor.version);
+    let change = operator::change(
+        random_change_id(),
+        current.anchor,
+        expect,
+        &author(),
+        &note,
+        ops,
+    );
+    publish_change(client, &change, None, args.wait).await
 }
 
-/// Returns the operations that lead from one state to another.
+/// Returns the operations that change the resources `from` into the resources `to`.
 fn ops_between(from: &Resources, to: &Resources) -> Vec<Op> {
     let find = |of: &Resources, key: &Key| -> Option<Resource> {
         of.held
@@ -452,34 +473,36 @@
         .filter(|r| find(from, &r.key()).as_ref() != Some(r))
         .map(Op::Put)
         .collect();
-    let gone = from
+    let deleted = from
         .held
         .iter()
         .map(|held| held.resource.key())
         .filter(|key| find(to, key).is_none());
-    ops.extend(gone.map(Op::Delete));
+    ops.extend(deleted.map(Op::Delete));
     ops
 }
 
-/// Sends a change, says what became of it and waits if asked to.
-async fn settle(
-    desk: &Desk,
+/// Publishes a change and prints its outcome. If it is accepted and `max_wait` is given,
+/// waits until it is in force on all nodes.
+async fn publish_change(
+    client: &DaemonClient,
     change: &crate::state::change::Change,
     files: Option<&Files>,
-    patience: Option<Span>,
-) -> Done {
-    let published = desk.publish(change).await?;
-    show::published(&published, &change.id, files, desk.json);
-    let code = code_of(&published);
-    match (&published, patience) {
-        (Published::Decided(outcome), Some(patience)) if code == Code::Accepted => {
-            wait(desk, outcome.version, patience).await
+    max_wait: Option<Span>,
+) -> CommandResult {
+    let published = client.publish(change).await?;
+    show::published(&published, &change.id, files, client.json);
+    let code = exit_code(&published);
+    match (&published, max_wait) {
+        (Published::Decided(outcome), Some(max_wait)) if code == Code::Accepted => {
+            wait(client, outcome.version, max_wait).await
         }
         _ => Ok(code),
     }
 }
 
-fn code_of(published: &Published) -> Code {
+/// Returns the exit code for the outcome of publishing a change.
+fn exit_code(published: &Published) -> Code {
     let of_verdict = |verdict: &Verdict| match verdict {
         Verdict::Accepted | Verdict::Repeated(_) => Code::Accepted,
         Verdict::Conflict(_) => Code::Conflict,
@@ -493,52 +516,55 @@
     }
 }
 
-/// The first and the longest pause between two looks at the mesh.
-const FIRST_LOOK: Duration = Duration::from_millis(100);
-const LAST_LOOK: Duration = Duration::from_secs(3);
+/// Pause after the first poll of [`wait`]. It doubles after each poll.
+const FIRST_PAUSE: Duration = Duration::from_millis(100);
+
+/// Longest pause between two polls of [`wait`].
+const MAX_PAUSE: Duration = Duration::from_secs(3);
 
-/// Waits until `version` is in force everywhere, with a progress line.
-async fn wait(desk: &Desk, version: Version, patience: Span) -> Done {
-    let bar = show::progress(desk.json);
-    let since = std::time::Instant::now();
-    let mut pause = FIRST_LOOK;
+/// Waits until `version` is in force on all nodes, and shows a progress bar.
+async fn wait(client: &DaemonClient, version: Version, max_wait: Span) -> CommandResult {
+    let bar = show::progress(client.json);
+    let started = std::time::Instant::now();
+    let mut pause = FIRST_PAUSE;
     loop {
-        let found: Convergence = desk.get(&format!("census?version={version}")).await?;
-        let census = &found.census;
+        let convergence: Convergence = client.get(&format!("census?version={version}")).await?;
+        let census = &convergence.census;
         let total = census.current + census.behind + census.silent;
         bar.set_length(u64::from(total));
         bar.set_position(u64::from(census.current));
         if census.is_complete() {
             bar.finish_and_clear();
-            show::in_force(&found, desk.json);
+            show::in_force(&convergence, client.json);
             return Ok(Code::Accepted);
         }
-        if since.elapsed() >= patience.duration() {
+        if started.elapsed() >= max_wait.duration() {
             bar.finish_and_clear();
-            show::lagging(&found, desk.json);
+            show::lagging(&convergence, client.json);
             return Ok(Code::Lagging);
         }
-        // Each look asks every node of the mesh.
+        // Each poll sends a request to every node of the mesh, so polls become rarer.
         tokio::time::sleep(pause).await;
-        pause = (pause * 2).min(LAST_LOOK);
+        pause = (pause * 2).min(MAX_PAUSE);
     }
 }
 
-async fn explain(desk: &Desk, job: Explain) -> Done {
+async fn explain(client: &DaemonClient, args: ExplainArgs) -> CommandResult {
     let question = Question {
-        host: job.host,
-        path: job.path,
-        method: job.method,
+        host: args.host,
+        path: args.path,
+        method: args.method,
     };
-    show::explanation(&desk.post("explain", &question).await?, desk.json)
+    show::explanation(&client.post("explain", &question).await?, client.json)
 }
 
+/// Returns the user name that is recorded as the author of a change.
 fn author() -> String {
     std::env::var("USER").unwrap_or_default()
 }
 
-fn new_id() -> id::Change {
+fn random_change_id() -> id::Change {
     format!("{:032x}", fastrand::u128(..))
         .parse()
-        .expect("digits are a valid id")
+        .expect("32 hexadecimal digits are a valid change id")
 }
--- a/src/tool/show.rs
+++ b/src/tool/show.rs
@@ -1,4 +1,4 @@
-//! What the tool prints.
+//! Printing of results, as text or as JSON.
 
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
 use serde::Serialize;
@@ -12,24 +12,26 @@
     state::{
         fingerprint::Fingerprint, machine::Verdict, member::Target, resource::Key, version::Version,
     },
-    tool::{Code, Done, Failure},
+    tool::{Code, CommandResult, Failure},
 };
 
 fn print_json(value: &impl Serialize) {
     println!(
         "{}",
-        serde_json::to_string(value).expect("plain data always encodes")
+        serde_json::to_string(value).expect("a result always encodes as JSON")
     );
 }
 
-fn list(keys: &[Key]) -> String {
+/// Returns the keys separated by commas.
+fn join(keys: &[Key]) -> String {
     keys.iter()
         .map(ToString::to_string)
         .collect::<Vec<_>>()
         .join(", ")
 }
 
-pub fn rollouts(rollouts: &[Progress], json: bool) -> Done {
+/// Prints the progress of roll-outs.
+pub fn rollouts(rollouts: &[Progress], json: bool) -> CommandResult {
     if json {
         print_json(&rollouts);
         return Ok(Code::Accepted);
@@ -68,27 +70,33 @@
     Ok(Code::Accepted)
 }
 
-pub fn held(held: &[Quarantined], json: bool) -> Done {
+/// Prints the quarantined requests.
+pub fn quarantined(requests: &[Quarantined], json: bool) -> CommandResult {
     if json {
-        print_json(&held);
+        print_json(&requests);
         return Ok(Code::Accepted);
     }
     for Quarantined {
         content,
         ends,
         since_ms,
-    } in held
+    } in requests
     {
         println!("{content}: {ends} targets ended under it, held back for {since_ms} ms");
     }
-    if held.is_empty() {
+    if requests.is_empty() {
         println!("nothing is held back");
     }
     Ok(Code::Accepted)
 }
 
-pub fn let_go(content: &Fingerprint, was_held: bool) -> Done {
-    if !was_held {
+/// Prints that a request was released from quarantine.
+///
+/// # Errors
+///
+/// If the daemon had not quarantined the request.
+pub fn released(content: &Fingerprint, was_quarantined: bool) -> CommandResult {
+    if !was_quarantined {
         return Err(Failure::new(
             Code::Rejected,
             format!("{content} is not held back here"),
@@ -98,7 +106,8 @@
     Ok(Code::Accepted)
 }
 
-pub fn status(report: &Report, json: bool) -> Done {
+/// Prints the state of the mesh as one daemon knows it.
+pub fn status(report: &Report, json: bool) -> CommandResult {
     if json {
         print_json(report);
         return Ok(Code::Accepted);
@@ -115,7 +124,7 @@
     if let Some(trouble) = &report.trouble {
         println!("trouble: {trouble}");
     }
-    for row in &report.members {
+    for member in &report.members {
         let target = |t: &Target| {
             format!(
                 "{}{}",
@@ -123,19 +132,20 @@
                 if t.draining { " (draining)" } else { "" }
             )
         };
-        let targets: Vec<String> = row.targets.iter().map(target).collect();
+        let targets: Vec<String> = member.targets.iter().map(target).collect();
         println!(
             "  {:<16} {:<16} {:<8?} {}",
-            row.domain,
-            row.node,
-            row.status,
+            member.domain,
+            member.node,
+            member.status,
             targets.join(", ")
         );
     }
     Ok(Code::Accepted)
 }
 
-pub fn targets(targets: &[Target], json: bool) -> Done {
+/// Prints targets and whether they are draining.
+pub fn targets(targets: &[Target], json: bool) -> CommandResult {
     if json {
         print_json(&targets);
     } else {
@@ -149,7 +159,8 @@
     Ok(Code::Accepted)
 }
 
-pub fn history(history: &History, json: bool) -> Done {
+/// Prints the latest changes and their outcomes.
+pub fn history(history: &History, json: bool) -> CommandResult {
     if json {
         print_json(history);
         return Ok(Code::Accepted);
@@ -160,19 +171,20 @@
             "{:<10} {id} by {}: {}",
             outcome.version,
             outcome.author,
-            list(&outcome.keys)
+            join(&outcome.keys)
         );
         if !outcome.note.is_empty() {
             println!("           {}", outcome.note);
         }
         if !outcome.verdict.is_accepted() {
-            println!("           {}", verdict(&outcome.verdict, None));
+            println!("           {}", verdict_text(&outcome.verdict, None));
         }
     }
     Ok(Code::Accepted)
 }
 
-pub fn difference(difference: &Difference, version: Version, json: bool) -> Done {
+/// Prints the differences between files and the configuration in force at `version`.
+pub fn difference(difference: &Difference, version: Version, json: bool) -> CommandResult {
     if json {
         let Difference {
             added,
@@ -198,18 +210,20 @@
     Ok(Code::Accepted)
 }
 
-fn verdict(verdict: &Verdict, files: Option<&Files>) -> String {
+/// Returns the text of a verdict. Problems of resources in `files` are shown with their file
+/// and line.
+fn verdict_text(verdict: &Verdict, files: Option<&Files>) -> String {
     match verdict {
         Verdict::Accepted => "accepted".into(),
         Verdict::Repeated(version) => format!("was decided before, at {version}"),
-        Verdict::Conflict(keys) => format!("conflict: another change came first to {}", list(keys)),
+        Verdict::Conflict(keys) => format!("conflict: another change came first to {}", join(keys)),
         Verdict::Invalid(problems) => {
-            let place = |p| {
+            let problem_text = |p| {
                 files
                     .and_then(|files| files.place(p))
                     .map_or_else(|| format!("{p}"), |f| f.to_string())
             };
-            let lines: Vec<String> = problems.iter().map(place).collect();
+            let lines: Vec<String> = problems.iter().map(problem_text).collect();
             format!("rejected:\n  {}", lines.join("\n  "))
         }
         Verdict::Foreign => {
@@ -219,6 +233,7 @@
     }
 }
 
+/// Prints the outcome of publishing a change.
 pub fn published(published: &Published, id: &id::Change, files: Option<&Files>, json: bool) {
     if json {
         print_json(published);
@@ -229,15 +244,18 @@
             println!(
                 "change {id} at version {}: {}",
                 outcome.version,
-                verdict(&outcome.verdict, files)
+                verdict_text(&outcome.verdict, files)
             );
         }
-        Published::Refused(refused) => println!("change {id}: {}", verdict(refused, files)),
-        Published::NotAccepted(what) => println!("change {id}: not accepted: {what}"),
-        Published::Unknown(what) => println!("change {id}: outcome unknown: {what} (--id {id})"),
+        Published::Refused(verdict) => println!("change {id}: {}", verdict_text(verdict, files)),
+        Published::NotAccepted(reason) => println!("change {id}: not accepted: {reason}"),
+        Published::Unknown(reason) => {
+            println!("change {id}: outcome unknown: {reason} (--id {id})")
+        }
     }
 }
 
+/// Returns the progress bar of a wait, which is hidden if results are printed as JSON.
 pub fn progress(json: bool) -> ProgressBar {
     let target = if json {
         ProgressDrawTarget::hidden()
@@ -249,33 +267,36 @@
     bar.with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()))
 }
 
-pub fn in_force(found: &Convergence, json: bool) {
+/// Prints that a version is in force on all nodes.
+pub fn in_force(convergence: &Convergence, json: bool) {
     if json {
-        print_json(found);
+        print_json(convergence);
     } else {
         println!(
             "version {} is in force on all {} nodes",
-            found.version, found.census.current
+            convergence.version, convergence.census.current
         );
     }
 }
 
-pub fn lagging(found: &Convergence, json: bool) {
+/// Prints on how many nodes a version is in force, and some of the nodes without it.
+pub fn lagging(convergence: &Convergence, json: bool) {
     if json {
-        print_json(found);
+        print_json(convergence);
         return;
     }
-    let census = &found.census;
+    let census = &convergence.census;
     println!(
         "version {} is in force on {} nodes, not on {}, and {} do not answer",
-        found.version, census.current, census.behind, census.silent
+        convergence.version, census.current, census.behind, census.silent
     );
-    for node in &found.lagging {
+    for node in &convergence.lagging {
         println!("  lagging: {node}");
     }
 }
 
-pub fn explanation(explanation: &Explanation, json: bool) -> Done {
+/// Prints the route of a hypothetical request and the targets it could be sent to.
+pub fn explanation(explanation: &Explanation, json: bool) -> CommandResult {
     if json {
         print_json(explanation);
         return Ok(Code::Accepted);
--- a/src/tool/trace.rs
+++ b/src/tool/trace.rs
@@ -1,4 +1,4 @@
-//! What the logs of several nodes say of one request.
+//! The log lines of several nodes about one request.
 
 use std::{
     collections::BTreeSet,
@@ -9,31 +9,32 @@
 
 use serde_json::{Map, Value};
 
-use super::{Code, Done, Failure};
+use super::{Code, CommandResult, Failure};
 
-/// Fields that stand before the others, or not at all.
-const HEAD: [&str; 5] = ["ms", "code", "event", "level", "node"];
+/// Fields that are printed before the others (`ms`, `node`, `code`, `event`) or not at all
+/// (`level`).
+const LEADING_FIELDS: [&str; 5] = ["ms", "code", "event", "level", "node"];
 
-/// What was found in some logs.
+/// The lines about one request in some log files.
 #[derive(Debug, Default)]
 pub struct Trace {
-    /// The lines about the request, in order of time.
+    /// The lines about the request; in order of time after [`Self::sort`].
     pub lines: Vec<Map<String, Value>>,
-    /// Lines that were read.
+    /// Number of lines read.
     pub read: usize,
-    /// Lines that are no events of ours, such as cut ones.
+    /// Number of lines that are not rilltrack events, such as truncated ones.
     pub passed_over: usize,
 }
 
-/// Reads `files` for the request `id` and shows what they say of it.
+/// Prints the lines of `files` about the request `id`.
 ///
 /// # Errors
 ///
-/// If a file can't be read, or no line names the request.
-pub(super) fn run(id: &str, files: &[PathBuf], json: bool) -> Done {
+/// If a file can't be read, or no line is about the request.
+pub(super) fn run(id: &str, files: &[PathBuf], json: bool) -> CommandResult {
     let mut trace = Trace::default();
     for file in files {
-        trace.read(file, id)?;
+        trace.read_file(file, id)?;
     }
     trace.sort();
     if json {
@@ -55,62 +56,63 @@
         trace.read, trace.passed_over
     );
     if trace.lines.is_empty() {
-        let what = format!("no line names request {id} in {} files", files.len());
-        return Err(Failure::new(Code::Unknown, what));
+        let message = format!("no line names request {id} in {} files", files.len());
+        return Err(Failure::new(Code::Unknown, message));
     }
     Ok(Code::Accepted)
 }
 
 impl Trace {
-    fn read(&mut self, path: &Path, id: &str) -> Result<(), Failure> {
-        let fault = |error| Failure::new(Code::Usage, format!("{}: {error}", path.display()));
-        let file = File::open(path).map_err(fault)?;
+    /// Adds the lines of a log file about the request `id`.
+    fn read_file(&mut self, path: &Path, id: &str) -> Result<(), Failure> {
+        let failure = |error| Failure::new(Code::Usage, format!("{}: {error}", path.display()));
+        let file = File::open(path).map_err(failure)?;
         for line in BufReader::new(file).split(b'\n') {
-            self.take(&line.map_err(fault)?, id);
+            self.take(&line.map_err(failure)?, id);
         }
         Ok(())
     }
 
-    /// Takes a line in if it is about the request, or about a call made amid it,
-    /// whose id begins with the request's and a dot.
+    /// Adds a line if it is about the request `id`, or about a call that a target made while
+    /// it ran the request: the id of such a call is the request's id, a dot and a suffix.
     pub fn take(&mut self, line: &[u8], id: &str) {
         if line.is_empty() {
             return;
         }
         self.read += 1;
-        // A collector may put its own words before the object.
+        // A log collector may put a prefix before the JSON object.
         let start = line.iter().position(|byte| *byte == b'{').unwrap_or(0);
         let decoded = serde_json::from_slice::<Map<String, Value>>(&line[start..]);
         let Some(event) = decoded.ok().filter(|event| event.contains_key("code")) else {
             self.passed_over += 1;
             return;
         };
-        let named = event.get("id").and_then(Value::as_str).unwrap_or_default();
-        let is_call = named
+        let line_id = event.get("id").and_then(Value::as_str).unwrap_or_default();
+        let is_call = line_id
             .strip_prefix(id)
             .is_some_and(|rest| rest.starts_with('.'));
-        if named == id || is_call {
+        if line_id == id || is_call {
             self.lines.push(event);
         }
     }
 
-    /// Puts the lines in order of time. Clocks of hosts differ a little: within a
-    /// millisecond the order between nodes says nothing.
+    /// Sorts the lines by time. The clocks of hosts differ a little, so the order of lines of
+    /// different nodes within a millisecond is not reliable.
     pub fn sort(&mut self) {
         let ms = |event: &Map<String, Value>| event.get("ms").and_then(Value::as_u64);
         self.lines.sort_by_key(ms);
     }
 
-    /// Returns the lines for a person, with nodes that were tried but whose logs
-    /// are not there named at the end.
+    /// Returns the lines as text. A last line names the nodes that the request was sent to but
+    /// that no line comes from.
     pub fn text(&self) -> Vec<String> {
-        let first = self.lines.first().and_then(|line| line.get("ms")?.as_u64());
+        let start_ms = self.lines.first().and_then(|line| line.get("ms")?.as_u64());
         let mut text: Vec<String> = self
             .lines
             .iter()
-            .map(|line| show(line, first.unwrap_or_default()))
+            .map(|line| format_line(line, start_ms.unwrap_or_default()))
             .collect();
-        let missing = self.missing();
+        let missing = self.missing_nodes();
         if !missing.is_empty() {
             let nodes = missing.into_iter().collect::<Vec<_>>().join(", ");
             text.push(format!(
@@ -120,32 +122,38 @@
         text
     }
 
-    fn missing(&self) -> BTreeSet<String> {
-        let word = |line: &Map<String, Value>, name: &str| {
+    /// Returns the nodes that the request was sent to but that no line comes from.
+    fn missing_nodes(&self) -> BTreeSet<String> {
+        let text_field = |line: &Map<String, Value>, name: &str| {
             line.get(name).and_then(Value::as_str).map(str::to_owned)
         };
-        let seen: BTreeSet<String> = self.lines.iter().filter_map(|l| word(l, "node")).collect();
-        let tried = self.lines.iter().filter_map(|l| word(l, "tries"));
+        let logged: BTreeSet<String> = self
+            .lines
+            .iter()
+            .filter_map(|l| text_field(l, "node"))
+            .collect();
+        let tried = self.lines.iter().filter_map(|l| text_field(l, "tries"));
         let tried = tried.flat_map(|t| t.split(',').map(str::to_owned).collect::<Vec<_>>());
         tried
-            .filter(|node| !node.is_empty() && !seen.contains(node))
+            .filter(|node| !node.is_empty() && !logged.contains(node))
             .collect()
     }
 }
 
-fn show(line: &Map<String, Value>, first: u64) -> String {
-    let plain = |value: &Value| match value {
+/// Returns a line as text, with its time relative to `start_ms`.
+fn format_line(line: &Map<String, Value>, start_ms: u64) -> String {
+    let text = |value: &Value| match value {
         Value::String(text) => text.clone(),
         other => other.to_string(),
     };
-    let field = |name: &str| line.get(name).map(plain).unwrap_or_default();
-    let since = line.get("ms").and_then(Value::as_u64).unwrap_or(first) - first;
+    let field = |name: &str| line.get(name).map(text).unwrap_or_default();
+    let elapsed_ms = line.get("ms").and_then(Value::as_u64).unwrap_or(start_ms) - start_ms;
     let others = line
         .iter()
-        .filter(|(name, _)| !HEAD.contains(&name.as_str()));
-    let others: Vec<String> = others.map(|(n, v)| format!("{n}={}", plain(v))).collect();
+        .filter(|(name, _)| !LEADING_FIELDS.contains(&name.as_str()));
+    let others: Vec<String> = others.map(|(n, v)| format!("{n}={}", text(v))).collect();
     format!(
-        "+{since} ms {} E{} {}: {}",
+        "+{elapsed_ms} ms {} E{} {}: {}",
         field("node"),
         field("code"),
         field("event"),
