--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,15 +2,16 @@
 //! routes their requests by it.
 //!
 //! It is made for meshes with regulated data, where it matters more *where* a
-//! request is served than how fast. One small process runs on each target host.
-//! Operators publish labelled resources to the platform's append-only log;
-//! every process applies the same records with the same function, so there is
-//! nothing else to agree on.
+//! request is served than how fast. One small process, a node, runs on each
+//! target host. Operators publish labelled resources to the platform's
+//! append-only log. Every node applies the records in the order of the log with
+//! the same deterministic function, so nodes need no other agreement on the
+//! configuration.
 //!
 //! # Resources
 //!
 //! Operators write resources as JSON with comments. [`files`] reads them and
-//! names every fault at once, with its place:
+//! reports all faults together, each with its file, line and field:
 //!
 //! ```
 //! use rilltrack::{document::Document, files::Files};
@@ -30,7 +31,7 @@
 //! # Applying changes
 //!
 //! A change is a record of the log. [`state::machine::Machine`] applies records
-//! one by one and decides on each, alike on every node:
+//! one by one and accepts or rejects each, with the same verdict on every node:
 //!
 //! ```
 //! use std::collections::BTreeMap;
@@ -53,15 +54,16 @@
 //! };
 //! let record = Entry::Change(change).encode();
 //! assert_eq!(machine.apply(0, record.clone())?.verdict, Verdict::Accepted);
-//! // Published twice, since the first answer got lost: still one change.
+//! // The response was lost and the client published again: a change is
+//! // applied only once.
 //! assert!(matches!(machine.apply(1, record)?.verdict, Verdict::Repeated(_)));
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 //!
 //! # Running a node
 //!
-//! [`settings`] describes a node and [`daemon`] runs it; `rilltrackd` is little
-//! more than these two:
+//! [`settings`] describes a node and [`daemon`] runs it. The program
+//! `rilltrackd` does little else:
 //!
 //! ```no_run
 //! use std::path::Path;
@@ -77,12 +79,13 @@
 //!
 //! # Layers
 //!
-//! * [`transport`]: HTTP servers and clients. A request enters here.
+//! * [`transport`]: HTTP servers and clients. Requests enter here.
 //! * [`protocol`]: typed messages between processes.
-//! * [`coordination`]: how nodes act together, and where a request goes.
-//! * [`state`]: pure functions over what a node holds.
+//! * [`coordination`]: how nodes cooperate and how requests are routed.
+//! * [`state`]: the data that a node holds, and pure functions over it.
 //!
-//! Each layer has its own errors and turns those from below.
+//! Each layer has its own error types and converts the errors of the layers
+//! below.
 
 #![warn(missing_docs)]
 
