--- a/src/unit.rs
+++ b/src/unit.rs
@@ -1,21 +1,22 @@
-//! Quantities with their units: spans of time, sizes, shares.
+//! Quantities with units: spans of time, sizes, percentages.
 //!
-//! Settings and resources write them as text (`"250ms"`, `"64KiB"`, `"10%"`),
-//! so a bare number can never be read in the wrong unit.
+//! In settings and resources they are text with a unit (`"250ms"`, `"64KiB"`,
+//! `"10%"`). A bare number is rejected, so none is read in the wrong unit.
 
 use std::{fmt, str::FromStr, time::Duration};
 
 use serde::{Deserialize, Serialize};
 
-/// A text that is not a quantity of the wanted unit.
+/// The error for a text that is not a quantity of the expected kind.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
-#[error("`{text}` is not a {what}, for example `{example}`")]
+#[error("`{text}` is not a {kind}, for example `{example}`")]
 pub struct Error {
-    what: &'static str,
+    kind: &'static str,
     example: &'static str,
     text: String,
 }
 
+/// Units of [`Span`] with their milliseconds, in ascending order.
 const SPAN_UNITS: [(&str, u64); 5] = [
     ("ms", 1),
     ("s", 1_000),
@@ -23,6 +24,7 @@
     ("h", 3_600_000),
     ("d", 86_400_000),
 ];
+/// Units of [`Size`] with their bytes, in ascending order.
 const SIZE_UNITS: [(&str, u64); 4] = [
     ("B", 1),
     ("KiB", 1 << 10),
@@ -30,21 +32,23 @@
     ("GiB", 1 << 30),
 ];
 
-/// Splits `text` into its digits and unit and returns the scaled number.
-fn scaled(text: &str, units: &[(&str, u64)]) -> Option<u64> {
-    let digits = text.bytes().take_while(u8::is_ascii_digit).count();
-    let number: u64 = text[..digits].parse().ok()?;
-    let (_, factor) = units.iter().find(|(unit, _)| *unit == &text[digits..])?;
+/// Returns the value of a whole number with a unit, as in `250ms`.
+fn parse_scaled(text: &str, units: &[(&str, u64)]) -> Option<u64> {
+    let digit_count = text.bytes().take_while(u8::is_ascii_digit).count();
+    let number: u64 = text[..digit_count].parse().ok()?;
+    let (_, factor) = units
+        .iter()
+        .find(|(unit, _)| *unit == &text[digit_count..])?;
     number.checked_mul(*factor)
 }
 
-/// Writes `value` in the largest unit that divides it.
+/// Writes `value` as a whole number of the largest unit that divides it.
 fn write_scaled(f: &mut fmt::Formatter<'_>, value: u64, units: &[(&str, u64)]) -> fmt::Result {
-    let best = units
+    let largest = units
         .iter()
         .rev()
         .find(|(_, factor)| value != 0 && value.is_multiple_of(*factor));
-    let (unit, factor) = best.unwrap_or(&units[0]);
+    let (unit, factor) = largest.unwrap_or(&units[0]);
     write!(f, "{}{unit}", value / factor)
 }
 
@@ -95,12 +99,12 @@
         self.0
     }
 
-    /// Returns the span for the standard library's clocks and timers.
+    /// Returns the span as a [`Duration`].
     pub const fn duration(self) -> Duration {
         Duration::from_millis(self.0)
     }
 
-    /// Returns the whole milliseconds of a duration.
+    /// Returns `duration` in whole milliseconds, rounded down.
     pub fn of(duration: Duration) -> Self {
         Self(u64::try_from(duration.as_millis()).unwrap_or(u64::MAX))
     }
@@ -112,28 +116,28 @@
     }
 }
 
-/// Reads a span with a fraction, as in `2.5s`; what is below a millisecond is
-/// cut off.
-fn fraction(text: &str) -> Option<u64> {
+/// Returns the milliseconds of a span with a decimal fraction, as in `2.5s`,
+/// rounded down.
+fn parse_decimal_span(text: &str) -> Option<u64> {
     let (whole, rest) = text.split_once('.')?;
-    let digits = rest.bytes().take_while(u8::is_ascii_digit).count();
-    let (fraction, unit) = rest.split_at(digits);
+    let digit_count = rest.bytes().take_while(u8::is_ascii_digit).count();
+    let (fraction, unit) = rest.split_at(digit_count);
     let (_, factor) = SPAN_UNITS.iter().find(|(name, _)| *name == unit)?;
     let whole: u64 = whole.parse().ok()?;
-    let ten = 10_u64.checked_pow(u32::try_from(digits).ok()?)?;
-    let part = fraction.parse::<u64>().ok()?.checked_mul(*factor)? / ten;
-    whole.checked_mul(*factor)?.checked_add(part)
+    let divisor = 10_u64.checked_pow(u32::try_from(digit_count).ok()?)?;
+    let fraction = fraction.parse::<u64>().ok()?.checked_mul(*factor)? / divisor;
+    whole.checked_mul(*factor)?.checked_add(fraction)
 }
 
 impl FromStr for Span {
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
-        scaled(text, &SPAN_UNITS)
-            .or_else(|| fraction(text))
+        parse_scaled(text, &SPAN_UNITS)
+            .or_else(|| parse_decimal_span(text))
             .map(Self)
             .ok_or_else(|| Error {
-                what: "span of time",
+                kind: "span of time",
                 example: "250ms",
                 text: text.into(),
             })
@@ -168,27 +172,29 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
-        scaled(text, &SIZE_UNITS).map(Self).ok_or_else(|| Error {
-            what: "size",
-            example: "64KiB",
-            text: text.into(),
-        })
+        parse_scaled(text, &SIZE_UNITS)
+            .map(Self)
+            .ok_or_else(|| Error {
+                kind: "size",
+                example: "64KiB",
+                text: text.into(),
+            })
     }
 }
 
 quantity!(
-    /// A share of a whole, 0% to 100%.
+    /// A percentage from 0% to 100%.
     Percent,
     u8
 );
 
 impl Percent {
-    /// Returns a share of `percent` hundredths, at most the whole.
+    /// Returns `percent`, capped at 100%.
     pub const fn new(percent: u8) -> Self {
         Self(if percent > 100 { 100 } else { percent })
     }
 
-    /// Returns the share as a fraction of one.
+    /// Returns the percentage as a fraction, 0.0 to 1.0.
     pub fn fraction(self) -> f64 {
         f64::from(self.0) / 100.0
     }
@@ -204,12 +210,12 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
-        scaled(text, &[("%", 1)])
-            .and_then(|n| u8::try_from(n).ok())
-            .filter(|n| *n <= 100)
+        parse_scaled(text, &[("%", 1)])
+            .and_then(|number| u8::try_from(number).ok())
+            .filter(|number| *number <= 100)
             .map(Self)
             .ok_or_else(|| Error {
-                what: "percentage",
+                kind: "percentage",
                 example: "10%",
                 text: text.into(),
             })
