--- a/src/id.rs
+++ b/src/id.rs
@@ -1,41 +1,41 @@
-//! Names of the things a mesh is made of.
+//! Names and identifiers of nodes, targets, resources and changes.
 //!
-//! Every name is 1 to 63 bytes of `a-z`, `0-9`, `-` and `.`, and starts with
-//! a letter or digit. The rule is narrow on purpose: a name travels in HTTP
-//! headers, log lines and URLs, and must never need escaping there.
+//! A name is 1 to 63 bytes of `a-z`, `0-9`, `-` and `.`, and starts with a
+//! letter or digit. The rule is strict because names are part of HTTP headers,
+//! log lines and URLs, where none may need escaping.
 
 use std::{borrow::Borrow, fmt, str::FromStr, sync::Arc};
 
 use serde::{Deserialize, Serialize};
 
-/// The longest name, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME_LEN: usize = 63;
 
-/// A text that is not a valid name.
+/// The error for a text that is not a valid name, change id or release.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
-#[error("`{text}` is not a {what}: use {rule}")]
+#[error("`{text}` is not a {kind}: use {rule}")]
 pub struct Error {
-    what: &'static str,
+    kind: &'static str,
     text: String,
     rule: &'static str,
 }
 
-/// What a name is made of.
+/// The rule for names, as error messages state it.
 const NAME_RULE: &str = "1 to 63 of a-z, 0-9, `-`, `.`, starting with a letter or digit";
 
 fn is_name(text: &str) -> bool {
-    let starts_well = text
+    let has_valid_start = text
         .bytes()
         .next()
         .is_some_and(|b| b.is_ascii_lowercase() || b.is_ascii_digit());
-    let all_well = text
+    let has_valid_bytes = text
         .bytes()
         .all(|b| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-' || b == b'.');
-    starts_well && all_well && text.len() <= MAX_NAME_LEN
+    has_valid_start && has_valid_bytes && text.len() <= MAX_NAME_LEN
 }
 
 macro_rules! name {
-    ($(#[$doc:meta])* $type:ident, $what:literal) => {
+    ($(#[$doc:meta])* $type:ident, $kind:literal) => {
         $(#[$doc])*
         #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
         #[serde(try_from = "String", into = "String")]
@@ -55,7 +55,7 @@
                 if is_name(text) {
                     Ok(Self(text.into()))
                 } else {
-                    Err(Error { what: $what, text: text.into(), rule: NAME_RULE })
+                    Err(Error { kind: $kind, text: text.into(), rule: NAME_RULE })
                 }
             }
         }
@@ -89,29 +89,30 @@
 }
 
 name!(
-    /// One process of the system, on one target host.
+    /// The name of a node: one process of this system, on one target host.
     Node,
     "node name"
 );
 name!(
-    /// A resource of the configuration: a failure domain, a service, a route.
+    /// The name of a resource of the configuration, such as a failure domain,
+    /// a service or a route.
     Name,
     "resource name"
 );
 name!(
-    /// One change of configuration, unique for ever; the key under which a
-    /// repeated publish is recognised.
+    /// The id of one change of the configuration. It is never reused, so that a
+    /// repeated publish of the change is recognised.
     Change,
     "change id"
 );
 
-/// The longest release, in bytes.
+/// Maximum length of a release, in bytes.
 const MAX_RELEASE_LEN: usize = 64;
 
-/// The release of a target's program: what its makers call a version of it. Versions of the
-/// configuration are numbers and have nothing to do with it.
+/// The release of a target's program, as its developers name it. It is unrelated to the
+/// versions of the configuration, which are numbers.
 ///
-/// Any text of 1 to 64 visible ASCII characters:
+/// A release is any text of 1 to 64 visible ASCII characters:
 ///
 /// ```
 /// use rilltrack::id::Release;
@@ -133,7 +134,7 @@
             Ok(Self(text.into()))
         } else {
             Err(Error {
-                what: "release",
+                kind: "release",
                 text: text.into(),
                 rule: "1 to 64 visible ASCII characters",
             })
@@ -161,11 +162,11 @@
     }
 }
 
-/// One life of a node's process.
+/// One incarnation of a node, that is, one run of its process.
 ///
-/// Drawn from the operating system's clock at start so that a later life is
-/// larger; equality is what safety rests on, order only breaks ties between
-/// announcements.
+/// The number is taken from the system clock at the start, so that a later
+/// incarnation has a larger one. Safety relies on equality only. The order only
+/// breaks ties between announcements.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
@@ -185,21 +186,23 @@
     }
 }
 
-/// One life of a target's process: the id under which it announces itself, and when it
-/// started.
+/// One instance of a target: the id under which its process announces itself, and the
+/// process's start time, if known.
 ///
-/// An id alone names no life. A target may start again under the id that it had, and then
-/// holds nothing of before: its earlier life's drain, load and pace are not its own.
+/// The id alone does not identify an instance. A target may restart under the same id and
+/// then has none of its earlier state: the drain, load and slowdown of the earlier instance
+/// do not apply to the new one.
 ///
-/// As text it is `ID@BORN`, or the id alone where no start is known:
+/// The text form is `ID@BORN`, or the id alone if the start time is unknown. `BORN` is the
+/// start time in milliseconds since 1970:
 ///
 /// ```
 /// use rilltrack::id::Instance;
 ///
 /// let first = Instance::new("i-7", Some(1_791_758_000_000));
-/// let again = Instance::new("i-7", Some(1_791_758_009_000));
-/// assert_ne!(first, again);
-/// assert!(first.is_before(&again));
+/// let restarted = Instance::new("i-7", Some(1_791_758_009_000));
+/// assert_ne!(first, restarted);
+/// assert!(first.is_before(&restarted));
 /// assert_eq!(Instance::from(first.to_string()), first);
 /// assert_eq!(Instance::from("i-7").born(), None);
 /// ```
@@ -211,7 +214,7 @@
 }
 
 impl Instance {
-    /// Returns the life of `id` that began `born` milliseconds after 1970, if it says so.
+    /// Returns the instance of `id` that started `born` milliseconds after 1970, if known.
     pub fn new(id: &str, born: Option<u64>) -> Self {
         Self {
             id: id.into(),
@@ -224,29 +227,30 @@
         &self.id
     }
 
-    /// Returns when it started, in milliseconds since 1970, if it says so.
+    /// Returns the start time in milliseconds since 1970, if known.
     pub fn born(&self) -> Option<u64> {
         self.born
     }
 
-    /// Returns whether it started before `other`, as far as both say when.
+    /// Returns whether this instance started before `other`; `false` if either start time
+    /// is unknown.
     pub fn is_before(&self, other: &Self) -> bool {
-        matches!((self.born, other.born), (Some(one), Some(other)) if one < other)
+        matches!((self.born, other.born), (Some(start), Some(other_start)) if start < other_start)
     }
 
-    /// Returns whether both can be one life: the ids are the same, and so are the starts
-    /// where both say one.
+    /// Returns whether both may be the same instance: the ids are equal, and so are the
+    /// start times if both are known.
     pub fn may_be(&self, other: &Self) -> bool {
-        let same_start = match (self.born, other.born) {
-            (Some(one), Some(other)) => one == other,
+        let may_have_same_start = match (self.born, other.born) {
+            (Some(start), Some(other_start)) => start == other_start,
             _ => true,
         };
-        self.id == other.id && same_start
+        self.id == other.id && may_have_same_start
     }
 }
 
 impl Default for Instance {
-    /// Returns the life of a target that names none.
+    /// Returns the instance of a target that reports neither id nor start time.
     fn default() -> Self {
         Self::new("", None)
     }
@@ -285,7 +289,7 @@
         f.write_str(&self.id)?;
         match self.born {
             Some(born) => write!(f, "@{born}"),
-            // Lest the end of an id be taken for a start.
+            // Without a final `@`, parsing could take the end of the id for a start time.
             None if self.id.contains('@') => f.write_str("@"),
             None => Ok(()),
         }
