--- a/src/document.rs
+++ b/src/document.rs
@@ -1,15 +1,15 @@
-//! JSON with comments, read so that every error names its place.
+//! JSON documents with comments, whose errors name file, line and field.
 
 use std::{fmt, path::Path};
 
 use jsonc_parser::{
     ParseOptions,
-    ast::{ObjectPropName, Value as Node},
+    ast::{ObjectPropName, Value as AstNode},
     common::Ranged,
 };
 use serde::de::DeserializeOwned;
 
-/// A file of JSON with comments.
+/// A parsed JSON document with comments.
 ///
 /// # Example
 ///
@@ -24,20 +24,20 @@
 pub struct Document {
     name: String,
     text: String,
-    /// The content, without comments.
+    /// The parsed content, without comments.
     pub value: serde_json::Value,
 }
 
-/// One error in a [`Document`], with its place.
+/// One error in a [`Document`], with its file, line and field.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Fault {
-    /// The file.
+    /// The name of the document, usually the path of its file.
     pub file: String,
-    /// The line, from 1.
+    /// The line, from 1; 0 if the fault is not on any line.
     pub line: usize,
-    /// The field, as a path; empty for the whole.
+    /// The path of the field, joined by dots; empty for the whole document.
     pub field: String,
-    /// What is wrong and how to mend it.
+    /// What is wrong and, if not obvious, how to correct it.
     pub what: String,
 }
 
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     ///
-    /// If it can't be read or is not JSON.
+    /// If the file can't be read or is not JSON with comments.
     pub fn read(path: &Path) -> Result<Self, Fault> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|error| Fault {
@@ -70,11 +70,11 @@
         Self::parse(&name, &text)
     }
 
-    /// Parses `text`, which errors call `name`.
+    /// Parses `text`. Faults show `name` as the file.
     ///
     /// # Errors
     ///
-    /// If it is not JSON.
+    /// If `text` is not JSON with comments.
     pub fn parse(name: &str, text: &str) -> Result<Self, Fault> {
         let parsed =
             jsonc_parser::parse_to_serde_value::<serde_json::Value>(text, &ParseOptions::default());
@@ -86,15 +86,15 @@
             }),
             Err(error) => Err(Fault {
                 file: name.into(),
-                line: line_at(text, error.range().start),
+                line: line_number(text, error.range().start),
                 field: String::new(),
                 what: format!("is not JSON: {}", error.kind()),
             }),
         }
     }
 
-    /// Returns the line of the value at `path`, or of the nearest value above
-    /// it that is there.
+    /// Returns the line of the value at `path`, or of its nearest ancestor that
+    /// exists.
     pub fn line(&self, path: &[&str]) -> usize {
         let options = ParseOptions::default();
         let tree = jsonc_parser::parse_to_ast(&self.text, &Default::default(), &options);
@@ -103,73 +103,75 @@
         };
         let mut node = &root;
         let mut start = node.start();
-        for step in path {
-            let Some((at, next)) = child(node, step) else {
+        for segment in path {
+            let Some((child_start, child_node)) = child(node, segment) else {
                 break;
             };
-            start = at;
-            node = next;
+            start = child_start;
+            node = child_node;
         }
-        line_at(&self.text, start)
+        line_number(&self.text, start)
     }
 
-    /// Returns a fault at `path`.
-    pub fn fault(&self, path: &[&str], what: impl Into<String>) -> Fault {
+    /// Returns a fault at `path` with the message `message`.
+    pub fn fault(&self, path: &[&str], message: impl Into<String>) -> Fault {
         Fault {
             file: self.name.clone(),
             line: self.line(path),
             field: path.join("."),
-            what: what.into(),
+            what: message.into(),
         }
     }
 
-    /// Decodes `value`, which stands at `path` in this document.
+    /// Decodes `value`, which is at `path` in this document.
     ///
     /// # Errors
     ///
-    /// If it does not fit the type; the fault names the field.
+    /// If `value` does not match the type. The fault names the field.
     pub fn decode<T: DeserializeOwned>(
         &self,
         path: &[&str],
         value: &serde_json::Value,
     ) -> Result<T, Fault> {
         serde_path_to_error::deserialize(value).map_err(|error| {
-            let inner: Vec<String> = error
+            let inner_path: Vec<String> = error
                 .path()
                 .iter()
                 .map(|segment| segment.to_string())
                 .collect();
-            let inner = inner
+            let inner_path = inner_path
                 .iter()
                 .map(String::as_str)
                 .filter(|segment| *segment != "?");
-            let path: Vec<&str> = path.iter().copied().chain(inner).collect();
+            let path: Vec<&str> = path.iter().copied().chain(inner_path).collect();
             let path: Vec<&str> = path
                 .iter()
-                .map(|step| step.trim_matches(['[', ']']))
+                .map(|segment| segment.trim_matches(['[', ']']))
                 .collect();
             self.fault(&path, error.into_inner().to_string())
         })
     }
 }
 
-/// Returns where the child `step` starts, and the child.
-fn child<'a, 'b>(node: &'b Node<'a>, step: &str) -> Option<(usize, &'b Node<'a>)> {
+/// Returns the child of `node` at `segment`, a property name or an array index,
+/// and the byte offset where it starts.
+fn child<'a, 'b>(node: &'b AstNode<'a>, segment: &str) -> Option<(usize, &'b AstNode<'a>)> {
     match node {
-        Node::Object(object) => {
-            let name = |name: &ObjectPropName<'_>| name.as_str() == step;
-            let property = object.properties.iter().find(|p| name(&p.name))?;
+        AstNode::Object(object) => {
+            let matches = |name: &ObjectPropName<'_>| name.as_str() == segment;
+            let property = object.properties.iter().find(|p| matches(&p.name))?;
             Some((property.start(), &property.value))
         }
-        Node::Array(array) => {
-            let value = array.elements.get(step.parse::<usize>().ok()?)?;
+        AstNode::Array(array) => {
+            let value = array.elements.get(segment.parse::<usize>().ok()?)?;
             Some((value.start(), value))
         }
         _ => None,
     }
 }
 
-fn line_at(text: &str, position: usize) -> usize {
+/// Returns the line, from 1, of the byte offset `position` in `text`.
+fn line_number(text: &str, position: usize) -> usize {
     let end = position.min(text.len());
     1 + text.as_bytes()[..end]
         .iter()
