--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the daemon: JSON with comments, checked as a whole.
+//! Settings of the daemon, read from JSON with comments and validated together.
 
 use std::{
     net::SocketAddr,
@@ -20,39 +20,39 @@
 pub struct Settings {
     /// The node's name, unique in the mesh.
     pub node: Node,
-    /// The failure domain its host is in.
+    /// The failure domain of its host.
     pub domain: Name,
-    /// Labels of the proxy, for selectors.
+    /// Labels of the proxy, which selectors match.
     #[serde(default)]
     pub labels: Labels,
-    /// Where it listens.
+    /// The addresses that the daemon listens on.
     pub listen: Listen,
-    /// Where other nodes reach it, if that is not where it listens.
+    /// The addresses under which other nodes reach it, if not those of `listen`.
     #[serde(default)]
     pub advertise: Option<Advertise>,
-    /// Control addresses of some other nodes, to find the rest.
+    /// Control addresses of some other nodes, through which this node discovers the rest.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
     /// The platform's log.
     pub log: Log,
-    /// How nodes prove who they are to each other.
+    /// How nodes authenticate each other.
     pub security: Security,
-    /// Membership.
+    /// Timing of the membership protocol.
     #[serde(default)]
     pub membership: Membership,
-    /// Limits on requests.
+    /// Limits on requests and idempotency keys.
     #[serde(default)]
     pub requests: Requests,
-    /// Where log lines go; standard error if absent.
+    /// The file for log lines; standard error if absent.
     #[serde(default)]
     pub log_file: Option<PathBuf>,
 }
 
-/// Where a daemon listens. Port 0 takes a free one.
+/// The addresses that a daemon listens on. Port 0 selects a free port.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// For callers.
+    /// For requests from callers.
     pub callers: SocketAddr,
     /// For requests from other nodes.
     pub inbound: SocketAddr,
@@ -64,49 +64,50 @@
     pub operators: SocketAddr,
 }
 
-/// Addresses that other nodes use, as behind a forwarder.
+/// The addresses that other nodes use if they differ from those listened on, for
+/// example behind a port forwarder.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Advertise {
-    /// For requests.
+    /// For requests from other nodes.
     pub inbound: SocketAddr,
-    /// For control messages.
+    /// For control messages from other nodes.
     pub peers: SocketAddr,
 }
 
-/// How to reach the platform's log.
+/// The platform's log and how the daemon uses it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Log {
     /// The base URL.
     pub url: String,
-    /// The stream of changes.
+    /// The name of the stream of changes.
     #[serde(default = "default_config_stream")]
     pub config_stream: Name,
-    /// The stream of snapshots.
+    /// The name of the stream of snapshots.
     #[serde(default = "default_snapshot_stream")]
     pub snapshot_stream: Name,
-    /// The largest record the log takes.
+    /// The largest record that the log accepts.
     #[serde(default = "default_max_record")]
     pub max_record: Size,
-    /// How long a call may take.
+    /// Timeout of a call to the log.
     #[serde(default = "default_log_timeout")]
     pub timeout: Span,
-    /// How long a read waits at the log for something new.
+    /// How long the log may hold a read open until there are new records (long poll).
     #[serde(default = "default_log_wait")]
     pub wait: Span,
-    /// How often a snapshot is written; well below the log's retention.
+    /// Interval between snapshots. It must be well below the log's retention.
     #[serde(default = "default_snapshot_every")]
     pub snapshot_every: Span,
 }
 
-/// How nodes prove who they are.
+/// How nodes authenticate each other.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Security {
-    /// They don't: anybody on the network can act as a node. For trials.
+    /// No authentication: anybody on the network can act as a node. For trials and tests.
     Plaintext,
-    /// Certificates both ways, encrypted.
+    /// Mutual TLS.
     Tls(Tls),
 }
 
@@ -114,47 +115,48 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tls {
-    /// This node's certificate, for its host's IP number.
+    /// This node's certificate, issued for its host's IP address.
     pub certificate: PathBuf,
-    /// Its key.
+    /// The private key of the certificate.
     pub key: PathBuf,
-    /// The authority that signs nodes' certificates.
+    /// The certificate of the authority that signs the nodes' certificates.
     pub authority: PathBuf,
 }
 
-/// Timing of membership.
+/// Timing of the membership protocol and of target leases.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Membership {
-    /// How often a node pings another of its failure domain.
+    /// Mean interval between a node's pings to other nodes of its failure domain.
     pub period: Span,
-    /// How long an answer may take.
+    /// How long a node waits for a reply, for example to a ping.
     pub timeout: Span,
-    /// How long a silent member may still refute that it is gone.
+    /// How long an unreachable member is suspected, and may refute it, before it counts as
+    /// gone.
     pub suspect_for: Span,
-    /// How often a node compares its whole table with another's.
+    /// Interval at which a node compares its whole member table with that of another node.
     pub sync_every: Span,
-    /// How long a target's announcement lasts.
+    /// Lease of a target: how long an announcement is valid.
     pub lease: Span,
 }
 
-/// Limits on requests.
+/// Limits on requests and idempotency keys.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Requests {
-    /// Threads that serve requests.
+    /// Number of threads that serve requests.
     pub threads: usize,
-    /// How long a shutdown waits for requests in flight.
+    /// How long a shutdown waits for requests in progress.
     pub drain: Span,
-    /// Idempotency keys held at a time, issued or used.
+    /// Maximum number of idempotency keys held, both issued and used.
     pub keys: usize,
-    /// How long an idempotency key lasts.
+    /// Lifetime of an idempotency key.
     pub key_life: Span,
-    /// Bytes of answers kept for repeats of keyed requests.
+    /// Maximum total size of the answers kept for repeats of keyed requests.
     pub key_answers: Size,
-    /// How long a caller may take over the headers of a request.
+    /// How long a caller, target or operator may take to send the headers of a request.
     pub header_timeout: Span,
-    /// How long a body may stand still.
+    /// How long the transfer of a body may make no progress.
     pub idle_timeout: Span,
 }
 
@@ -208,13 +210,13 @@
     Span::from_secs(600)
 }
 
-/// A setting that contradicts another or is out of bounds.
-struct Contradiction {
+/// A setting that conflicts with another or is out of bounds.
+struct Conflict {
     path: Vec<&'static str>,
-    what: &'static str,
+    message: &'static str,
 }
 
-/// Builds [`Settings`] within a program.
+/// Builds [`Settings`] in code.
 ///
 /// # Example
 ///
@@ -239,31 +241,32 @@
         self
     }
 
-    /// Sets where it listens.
+    /// Sets the addresses that the daemon listens on.
     pub fn listen(mut self, listen: Listen) -> Self {
         self.settings.listen = listen;
         self
     }
 
-    /// Sets the control addresses of some other nodes.
+    /// Sets the control addresses of some other nodes, through which this node discovers
+    /// the rest.
     pub fn seeds(mut self, seeds: Vec<SocketAddr>) -> Self {
         self.settings.seeds = seeds;
         self
     }
 
-    /// Sets how nodes prove who they are.
+    /// Sets how nodes authenticate each other.
     pub fn security(mut self, security: Security) -> Self {
         self.settings.security = security;
         self
     }
 
-    /// Sets the timing of membership.
+    /// Sets the timing of the membership protocol.
     pub fn membership(mut self, membership: Membership) -> Self {
         self.settings.membership = membership;
         self
     }
 
-    /// Sets the limits on requests.
+    /// Sets the limits on requests and idempotency keys.
     pub fn requests(mut self, requests: Requests) -> Self {
         self.settings.requests = requests;
         self
@@ -273,22 +276,22 @@
     ///
     /// # Errors
     ///
-    /// The first contradiction between them.
+    /// If settings conflict or are out of bounds; the first fault found.
     pub fn build(self) -> Result<Settings, Fault> {
-        match self.settings.contradictions().into_iter().next() {
+        match self.settings.conflicts().into_iter().next() {
             None => Ok(self.settings),
-            Some(Contradiction { path, what }) => Err(Fault {
+            Some(Conflict { path, message }) => Err(Fault {
                 file: "settings".into(),
                 line: 0,
                 field: path.join("."),
-                what: what.into(),
+                what: message.into(),
             }),
         }
     }
 }
 
 impl Log {
-    /// Returns a log at `url`, all else at its default.
+    /// Returns the settings of a log at `url`, with defaults for the rest.
     pub fn new(url: impl Into<String>) -> Self {
         Self {
             url: url.into(),
@@ -303,27 +306,27 @@
 }
 
 impl Settings {
-    /// Reads and checks the settings at `path`.
+    /// Reads the settings at `path` and validates them.
     ///
     /// # Errors
     ///
-    /// Everything that is wrong with them.
+    /// All faults that were found.
     pub fn read(path: &Path) -> Result<Self, Vec<Fault>> {
         Self::from_document(&Document::read(path).map_err(|fault| vec![fault])?)
     }
 
-    /// Checks the settings in `document`.
+    /// Decodes the settings in `document` and validates them.
     ///
     /// # Errors
     ///
-    /// Everything that is wrong with them.
+    /// The first fault of decoding, or else all faults of validation.
     pub fn from_document(document: &Document) -> Result<Self, Vec<Fault>> {
         let settings: Self = document
             .decode(&[], &document.value)
             .map_err(|fault| vec![fault])?;
-        let contradictions = settings.contradictions().into_iter();
-        let faults: Vec<Fault> = contradictions
-            .map(|c| document.fault(&c.path, c.what))
+        let conflicts = settings.conflicts().into_iter();
+        let faults: Vec<Fault> = conflicts
+            .map(|conflict| document.fault(&conflict.path, conflict.message))
             .collect();
         if faults.is_empty() {
             Ok(settings)
@@ -332,8 +335,8 @@
         }
     }
 
-    /// Returns a builder for a node that is alone on loopback, in plaintext;
-    /// everything else stands at its default.
+    /// Returns a builder for a single node on loopback, in plaintext, with
+    /// defaults for the rest.
     pub fn builder(node: Node, domain: Name, log_url: impl Into<String>) -> Builder {
         Builder {
             settings: Self {
@@ -352,29 +355,30 @@
         }
     }
 
-    fn contradictions(&self) -> Vec<Contradiction> {
+    /// Returns all settings that conflict with others or are out of bounds.
+    fn conflicts(&self) -> Vec<Conflict> {
         let mut found = Vec::new();
-        let mut add = |path: &[&'static str], what: &'static str| {
-            found.push(Contradiction {
+        let mut add = |path: &[&'static str], message: &'static str| {
+            found.push(Conflict {
                 path: path.to_vec(),
-                what,
+                message,
             });
         };
-        let m = &self.membership;
-        if m.timeout >= m.period {
+        let membership = &self.membership;
+        if membership.timeout >= membership.period {
             add(
                 &["membership", "timeout"],
                 "must be below `period`, or pings overlap",
             );
         }
-        if m.suspect_for < m.period {
+        if membership.suspect_for < membership.period {
             add(
                 &["membership", "suspect_for"],
                 "must be at least `period`, or nobody can refute",
             );
         }
-        if m.period.as_millis() == 0 {
-            add(&["membership", "period"], "must be more than nothing");
+        if membership.period.as_millis() == 0 {
+            add(&["membership", "period"], "must be greater than 0");
         }
         if !self.log.url.starts_with("http://") && !self.log.url.starts_with("https://") {
             add(&["log", "url"], "must start with http:// or https://");
@@ -391,13 +395,15 @@
         if self.requests.keys == 0 {
             add(&["requests", "keys"], "must be at least 1");
         }
-        for (name, address) in self.listen.all() {
-            let twin = self
+        for (name, address) in self.listen.named_addresses() {
+            let is_duplicate = self
                 .listen
-                .all()
+                .named_addresses()
                 .iter()
-                .any(|(other, a)| *other != name && *a == address && a.port() != 0);
-            if twin {
+                .any(|(other_name, other)| {
+                    *other_name != name && *other == address && other.port() != 0
+                });
+            if is_duplicate {
                 add(&["listen", name], "is used twice");
             }
         }
@@ -419,19 +425,20 @@
 }
 
 impl Listen {
-    /// Returns all five addresses on free ports of loopback, for trials.
+    /// Returns five loopback addresses with free ports, for trials and tests.
     pub fn loopback() -> Self {
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
+        let free_port = SocketAddr::from(([127, 0, 0, 1], 0));
         Self {
-            callers: any,
-            inbound: any,
-            peers: any,
-            targets: any,
-            operators: any,
+            callers: free_port,
+            inbound: free_port,
+            peers: free_port,
+            targets: free_port,
+            operators: free_port,
         }
     }
 
-    fn all(&self) -> [(&'static str, SocketAddr); 5] {
+    /// Returns all addresses with the names of their settings.
+    fn named_addresses(&self) -> [(&'static str, SocketAddr); 5] {
         [
             ("callers", self.callers),
             ("inbound", self.inbound),
