--- a/src/files.rs
+++ b/src/files.rs
@@ -1,7 +1,7 @@
-//! Configuration files, as operators keep them under version control.
+//! Configuration files, which operators keep under version control.
 //!
-//! A file is an array of resources, JSON with comments; each names its
-//! `kind`. Several files together are one configuration.
+//! A file is JSON with comments: an array of resources, each with its `kind`.
+//! Several files together form one configuration.
 
 use std::path::{Path, PathBuf};
 
@@ -15,140 +15,144 @@
     },
 };
 
-/// The resources of some files, each with its place.
+/// The resources of one or more files, each with its position for error messages.
 #[derive(Clone, Debug, Default)]
 pub struct Files {
     documents: Vec<Document>,
     entries: Vec<Entry>,
 }
 
+/// A resource and its position: an item of one of the documents.
 #[derive(Clone, Debug)]
 struct Entry {
     resource: Resource,
-    document: usize,
-    index: usize,
+    document_index: usize,
+    item_index: usize,
 }
 
 impl Files {
-    /// Reads the files at `paths`, checked as if they were the whole
-    /// configuration.
+    /// Reads the files at `paths` and checks them as a whole configuration.
     ///
     /// # Errors
     ///
-    /// Everything that is wrong with them, not just the first.
+    /// All faults that were found, not only the first.
     pub fn read(paths: &[PathBuf]) -> Result<Self, Vec<Fault>> {
-        let (documents, faults) = documents(paths);
+        let (documents, faults) = read_documents(paths);
         Self::from_documents(documents, faults)
     }
 
-    /// Reads the files at `paths` as a part of the configuration: what they
-    /// refer to may be in force already, which a daemon has to check.
+    /// Reads the files at `paths` as a part of a configuration.
+    ///
+    /// References to resources outside the files are not checked here, because
+    /// the resources may be in force already. The daemon checks them.
     ///
     /// # Errors
     ///
-    /// Everything that is wrong with them by themselves.
+    /// All faults that can be found in the files alone.
     pub fn read_part(paths: &[PathBuf]) -> Result<Self, Vec<Fault>> {
-        let (documents, faults) = documents(paths);
-        let (files, faults) = Self::collect_all(documents, faults);
-        unless_faulty(files, faults)
+        let (documents, faults) = read_documents(paths);
+        let (files, faults) = Self::decode_all(documents, faults);
+        ok_if_faultless(files, faults)
     }
 
-    /// Reads the documents as the whole configuration; what is wrong adds to
-    /// `faults` found before.
+    /// Decodes `documents` and checks them as a whole configuration.
     ///
     /// # Errors
     ///
-    /// Everything that is wrong with them.
+    /// All faults that were found, after the given `faults` of earlier steps.
     pub fn from_documents(
         documents: Vec<Document>,
         faults: Vec<Fault>,
     ) -> Result<Self, Vec<Fault>> {
-        let (files, mut faults) = Self::collect_all(documents, faults);
-        files.check_whole(&mut faults);
-        unless_faulty(files, faults)
+        let (files, mut faults) = Self::decode_all(documents, faults);
+        files.check_as_whole(&mut faults);
+        ok_if_faultless(files, faults)
     }
 
-    fn collect_all(documents: Vec<Document>, mut faults: Vec<Fault>) -> (Self, Vec<Fault>) {
+    /// Decodes the resources of all documents and checks for duplicates. Faults
+    /// are appended to `faults`.
+    fn decode_all(documents: Vec<Document>, mut faults: Vec<Fault>) -> (Self, Vec<Fault>) {
         let mut files = Self {
             documents,
             entries: Vec::new(),
         };
-        for document in 0..files.documents.len() {
-            files.collect(document, &mut faults);
+        for document_index in 0..files.documents.len() {
+            files.decode_document(document_index, &mut faults);
         }
-        files.check_twins(&mut faults);
+        files.check_duplicates(&mut faults);
         (files, faults)
     }
 
-    /// Decodes the resources of one document, without checking them against
-    /// each other.
+    /// Decodes the resources of one document, without checking for duplicates or
+    /// unresolved references.
     ///
     /// # Errors
     ///
-    /// Everything that is wrong with them.
+    /// All faults of decoding.
     pub fn parse_only(document: &Document) -> Result<Vec<Resource>, Vec<Fault>> {
         let mut files = Self {
             documents: vec![document.clone()],
             entries: Vec::new(),
         };
         let mut faults = Vec::new();
-        files.collect(0, &mut faults);
+        files.decode_document(0, &mut faults);
         let resources = files
             .entries
             .into_iter()
             .map(|entry| entry.resource)
             .collect();
-        unless_faulty(resources, faults)
+        ok_if_faultless(resources, faults)
     }
 
-    fn collect(&mut self, at: usize, faults: &mut Vec<Fault>) {
-        let document = &self.documents[at];
+    fn decode_document(&mut self, document_index: usize, faults: &mut Vec<Fault>) {
+        let document = &self.documents[document_index];
         let Some(items) = document.value.as_array() else {
             faults.push(document.fault(&[], "must be an array of resources"));
             return;
         };
-        for (index, item) in items.iter().enumerate() {
-            match resource(document, index, item) {
+        for (item_index, item) in items.iter().enumerate() {
+            match decode_resource(document, item_index, item) {
                 Ok(resource) => self.entries.push(Entry {
                     resource,
-                    document: at,
-                    index,
+                    document_index,
+                    item_index,
                 }),
                 Err(fault) => faults.push(fault),
             }
         }
     }
 
-    fn check_twins(&self, faults: &mut Vec<Fault>) {
+    fn check_duplicates(&self, faults: &mut Vec<Fault>) {
         for (i, entry) in self.entries.iter().enumerate() {
             let key = entry.resource.key();
             if self.entries[..i]
                 .iter()
                 .any(|other| other.resource.key() == key)
             {
-                faults.push(self.fault(entry, "name", format!("{key} is there twice")));
+                faults.push(self.fault(entry, "name", format!("{key} is defined twice")));
             }
         }
     }
 
-    /// Checks the resources against each other, as if they were all there is.
-    fn check_whole(&self, faults: &mut Vec<Fault>) {
+    /// Checks the resources as a whole configuration.
+    fn check_as_whole(&self, faults: &mut Vec<Fault>) {
         let problems = Set::default().apply(&self.ops(), Version::default()).err();
         let problems = problems.unwrap_or_default();
         faults.extend(problems.iter().filter_map(|problem| self.place(problem)));
     }
 
-    fn fault(&self, entry: &Entry, field: &str, what: String) -> Fault {
-        let index = entry.index.to_string();
-        let path: Vec<&str> = [index.as_str(), field]
+    /// Returns a fault at a field of `entry`, or at the whole entry if `field` is empty.
+    fn fault(&self, entry: &Entry, field: &str, message: String) -> Fault {
+        let item_index = entry.item_index.to_string();
+        let path: Vec<&str> = [item_index.as_str(), field]
             .into_iter()
-            .filter(|step| !step.is_empty())
+            .filter(|segment| !segment.is_empty())
             .collect();
-        self.documents[entry.document].fault(&path, what)
+        self.documents[entry.document_index].fault(&path, message)
     }
 
-    /// Returns a problem with its place in the files, if it is about one of
-    /// their resources.
+    /// Returns `problem` as a fault with its file and line, or `None` if it is
+    /// not about a resource of these files.
     pub fn place(&self, problem: &Problem) -> Option<Fault> {
         let entry = self
             .entries
@@ -161,7 +165,7 @@
         ))
     }
 
-    /// Returns operations that put every resource.
+    /// Returns a put operation for each resource.
     pub fn ops(&self) -> Vec<Op> {
         self.entries
             .iter()
@@ -169,32 +173,35 @@
             .collect()
     }
 
-    /// Returns the resources.
+    /// Returns the resources in the order of the files.
     pub fn resources(&self) -> impl Iterator<Item = &Resource> {
         self.entries.iter().map(|entry| &entry.resource)
     }
 
-    /// Returns warnings: what is allowed but hardly meant.
+    /// Returns warnings about valid resources that are probably mistakes: unused
+    /// ones, and boundaries whose selectors match no failure domain.
+    ///
+    /// Returns none if the resources have faults as a whole configuration.
     pub fn warnings(&self) -> Vec<Fault> {
         let mut set = Set::default();
         if set.apply(&self.ops(), Version::default()).is_err() {
             return Vec::new();
         }
-        let used = |entry: &Entry| match &entry.resource {
-            Resource::Boundary(boundary) => {
-                set.services().any(|s| boundary.services.matches(&s.labels))
-            }
-            Resource::Service(service) => set.routes().any(|r| r.service == service.name),
-            Resource::Policy(policy) => set.services().any(|s| s.policy == policy.name),
+        let is_used = |entry: &Entry| match &entry.resource {
+            Resource::Boundary(boundary) => set
+                .services()
+                .any(|other| boundary.services.matches(&other.labels)),
+            Resource::Service(service) => set.routes().any(|route| route.service == service.name),
+            Resource::Policy(policy) => set.services().any(|service| service.policy == policy.name),
             Resource::Domain(_) | Resource::Route(_) => true,
         };
         let mut warnings = Vec::new();
         for entry in &self.entries {
-            let mut warn = |field, what: &str| {
-                let what = format!("{}: {what}", entry.resource.key());
-                warnings.push(self.fault(entry, field, what));
+            let mut warn = |field, message: &str| {
+                let message = format!("{}: {message}", entry.resource.key());
+                warnings.push(self.fault(entry, field, message));
             };
-            if !used(entry) {
+            if !is_used(entry) {
                 warn("", "nothing uses it");
             }
             if let Resource::Boundary(boundary) = &entry.resource {
@@ -209,17 +216,17 @@
     }
 }
 
-/// Returns `read` if there were no faults in it.
-fn unless_faulty<T>(read: T, faults: Vec<Fault>) -> Result<T, Vec<Fault>> {
+/// Returns `value` if there are no faults.
+fn ok_if_faultless<T>(value: T, faults: Vec<Fault>) -> Result<T, Vec<Fault>> {
     if faults.is_empty() {
-        Ok(read)
+        Ok(value)
     } else {
         Err(faults)
     }
 }
 
-/// Reads documents; those that can't be read are faults.
-fn documents(paths: &[PathBuf]) -> (Vec<Document>, Vec<Fault>) {
+/// Returns the documents at `paths` that could be read, and the faults of the others.
+fn read_documents(paths: &[PathBuf]) -> (Vec<Document>, Vec<Fault>) {
     let mut documents = Vec::new();
     let mut faults = Vec::new();
     for path in paths {
@@ -231,14 +238,14 @@
     (documents, faults)
 }
 
-/// Decodes one item of a file.
-fn resource(
+/// Decodes the item at `item_index` of a document.
+fn decode_resource(
     document: &Document,
-    index: usize,
+    item_index: usize,
     item: &serde_json::Value,
 ) -> Result<Resource, Fault> {
-    let index = index.to_string();
-    let path = [index.as_str()];
+    let item_index = item_index.to_string();
+    let path = [item_index.as_str()];
     let Some(object) = item.as_object() else {
         return Err(document.fault(&path, "must be an object"));
     };
@@ -248,48 +255,52 @@
     };
     let kind: Kind = kind
         .parse()
-        .map_err(|error| document.fault(&[&index, "kind"], format!("{error}")))?;
-    let mut rest = object.clone();
-    rest.remove("kind");
-    let rest = serde_json::Value::Object(rest);
+        .map_err(|error| document.fault(&[&item_index, "kind"], format!("{error}")))?;
+    let mut fields = object.clone();
+    fields.remove("kind");
+    let fields = serde_json::Value::Object(fields);
     match kind {
-        Kind::Domain => document.decode(&path, &rest).map(Resource::Domain),
-        Kind::Policy => document.decode(&path, &rest).map(Resource::Policy),
-        Kind::Service => document.decode(&path, &rest).map(Resource::Service),
-        Kind::Boundary => document.decode(&path, &rest).map(Resource::Boundary),
-        Kind::Route => document.decode(&path, &rest).map(Resource::Route),
+        Kind::Domain => document.decode(&path, &fields).map(Resource::Domain),
+        Kind::Policy => document.decode(&path, &fields).map(Resource::Policy),
+        Kind::Service => document.decode(&path, &fields).map(Resource::Service),
+        Kind::Boundary => document.decode(&path, &fields).map(Resource::Boundary),
+        Kind::Route => document.decode(&path, &fields).map(Resource::Route),
     }
 }
 
-/// What differs between files and the configuration in force.
+/// The difference between files and the configuration in force.
 #[derive(Clone, Debug, Default)]
 pub struct Difference {
     /// Resources that are only in the files.
     pub added: Vec<Key>,
-    /// Resources that differ.
+    /// Resources that are in both but differ.
     pub changed: Vec<Key>,
-    /// Resources that are only in force.
+    /// Resources that are in force but not in the files.
     pub removed: Vec<Key>,
 }
 
 impl Difference {
-    /// Returns the difference between `files` and the resources in force.
-    pub fn between<'a>(files: &Files, held: impl Iterator<Item = &'a Resource>) -> Self {
-        let held: std::collections::BTreeMap<Key, &Resource> = held.map(|r| (r.key(), r)).collect();
+    /// Returns the difference between `files` and `current`, the resources in force.
+    pub fn between<'a>(files: &Files, current: impl Iterator<Item = &'a Resource>) -> Self {
+        let current: std::collections::BTreeMap<Key, &Resource> =
+            current.map(|resource| (resource.key(), resource)).collect();
         let mut difference = Self::default();
         for resource in files.resources() {
-            match held.get(&resource.key()) {
+            match current.get(&resource.key()) {
                 None => difference.added.push(resource.key()),
-                Some(old) if *old != resource => difference.changed.push(resource.key()),
+                Some(other) if *other != resource => difference.changed.push(resource.key()),
                 Some(_) => {}
             }
         }
-        let kept: Vec<Key> = files.resources().map(Resource::key).collect();
-        difference.removed = held.into_keys().filter(|key| !kept.contains(key)).collect();
+        let file_keys: Vec<Key> = files.resources().map(Resource::key).collect();
+        difference.removed = current
+            .into_keys()
+            .filter(|key| !file_keys.contains(key))
+            .collect();
         difference
     }
 
-    /// Returns whether nothing differs.
+    /// Returns whether there is no difference.
     pub fn is_empty(&self) -> bool {
         self.added.is_empty() && self.changed.is_empty() && self.removed.is_empty()
     }
