--- a/src/journal.rs
+++ b/src/journal.rs
@@ -1,10 +1,10 @@
-//! Takes log lines off the request path.
+//! The journal: writes structured log lines off the request path.
 //!
-//! Lines go through a bounded ring to a thread of their own. When the ring is
-//! full a line is lost rather than a request delayed, and losses are counted. The
-//! writer sleeps until there is something to write, then waits a little for
-//! more: on hosts where each wake-up and each call to the system is paid for,
-//! one write for many lines is what makes a line for each request affordable.
+//! Lines go through a bounded ring to a writer thread. When the ring is full,
+//! further lines are dropped and counted, so that no request waits for the log.
+//! The writer sleeps until there is a line, then waits briefly for more and
+//! writes them together: on hosts where wake-ups and system calls are
+//! expensive, only this makes a line per request affordable.
 
 use std::{
     fmt::{Arguments, Display},
@@ -22,21 +22,23 @@
 
 use crate::event::Event;
 
-/// Lines that wait to be written; more are dropped and counted.
-const RING: usize = 16_384;
+/// Maximum number of lines that wait to be written as text by the `log` crate's logger.
+/// Further lines are dropped and counted.
+const TEXT_RING_LINES: usize = 16_384;
 
-/// The same where lines go to standard output: what a process writes in about
-/// two seconds at its budget. Each line holds some 300 bytes.
-const SMALL_RING: usize = 2_048;
+/// Maximum number of lines that wait to be written as JSON, to standard output. A process
+/// writes about that many in two seconds at its budget. A line takes about 300 bytes.
+const JSON_RING_LINES: usize = 2_048;
 
-/// How long the writer waits for more lines once there is one.
-const GATHER: Duration = Duration::from_millis(100);
+/// How long the writer waits for more lines after the first one that wakes it, in order
+/// to write them together.
+const BATCH_DELAY: Duration = Duration::from_millis(100);
 
-/// Lines of one event that are written within a second; more are passed over and
-/// counted. A target of either mesh runs about 100 requests a second.
-const BUDGET: u32 = 300;
+/// Maximum number of lines per event and second; further lines are dropped and counted.
+/// A target of either supported mesh runs about 100 requests a second.
+const MAX_LINES_PER_SECOND: u32 = 300;
 
-/// Writes log lines without keeping anybody waiting.
+/// Writes log lines without blocking the caller. Clones share one writer.
 ///
 /// # Example
 ///
@@ -53,10 +55,10 @@
     shared: Arc<Shared>,
 }
 
-/// A field of a line.
+/// A field of a log line: its name and value.
 pub type Field<'a> = (&'static str, &'a dyn Display);
 
-/// Writes a line about an event with the fields that are named.
+/// Writes a line about an event, with fields given as `name = value`.
 macro_rules! note {
     ($journal:expr, $event:expr $(, $name:ident = $value:expr)* $(,)?) => {
         $journal.record($event, &[$((stringify!($name), &$value)),*])
@@ -65,38 +67,44 @@
 
 pub(crate) use note;
 
-/// Where lines go.
+/// The destination of lines.
 enum Sink {
-    /// To the `log` crate's logger, as text.
+    /// The `log` crate's logger, as text.
     Logger,
-    /// To a writer, as JSON: an object a line.
+    /// A writer, as JSON with one object per line.
     Json(Mutex<Box<dyn Write + Send>>),
 }
 
+/// The state that all clones of a journal share with the writer thread.
 struct Shared {
     node: String,
     sink: Sink,
     ring: ArrayQueue<Line>,
-    lost: AtomicU64,
-    stopped: AtomicBool,
-    /// Held by who takes lines out of the ring until they are written.
-    writing: Mutex<()>,
-    /// The writer waits to be woken.
-    asleep: AtomicBool,
-    writer: OnceLock<thread::Thread>,
+    /// Number of lines dropped, for a full ring or a spent budget.
+    dropped: AtomicU64,
+    is_stopped: AtomicBool,
+    /// Held from taking lines out of the ring until they are written.
+    write_lock: Mutex<()>,
+    /// Whether the writer thread is parked, or about to park, and has to be woken.
+    is_parked: AtomicBool,
+    writer_thread: OnceLock<thread::Thread>,
+    /// The budget of each event, by [`Event::index`].
     budgets: Vec<Budget>,
 }
 
-/// What of an event was written in the second that runs.
+/// Counts the lines of one event in the current second.
 #[derive(Default)]
 struct Budget {
+    /// Unix time of the current second.
     second: AtomicU32,
-    lines: AtomicU32,
+    /// Lines offered in that second, including those dropped.
+    line_count: AtomicU32,
 }
 
+/// A formatted line that waits to be written.
 #[derive(Debug)]
 struct Line {
-    at: SystemTime,
+    time: SystemTime,
     event: Event,
     text: String,
 }
@@ -108,48 +116,51 @@
 }
 
 impl Journal {
-    /// Starts the writer's thread and returns a journal for `node`, whose lines
-    /// go to the `log` crate's logger.
+    /// Starts the writer thread and returns a journal of the node `node` that
+    /// writes text to the `log` crate's logger.
     ///
     /// # Panics
     ///
-    /// If the system can't start a thread.
+    /// If the thread can't be started.
     pub fn start(node: &str) -> Self {
-        Self::with(node, Sink::Logger, RING)
+        Self::start_with(node, Sink::Logger, TEXT_RING_LINES)
     }
 
-    /// The same, with lines of JSON that go to `out`.
+    /// Starts the writer thread and returns a journal of the node `node` that
+    /// writes JSON to `out`, one object per line.
     ///
     /// # Panics
     ///
-    /// If the system can't start a thread.
+    /// If the thread can't be started.
     pub fn start_json(node: &str, out: Box<dyn Write + Send>) -> Self {
-        Self::with(node, Sink::Json(Mutex::new(out)), SMALL_RING)
+        Self::start_with(node, Sink::Json(Mutex::new(out)), JSON_RING_LINES)
     }
 
-    fn with(node: &str, sink: Sink, ring: usize) -> Self {
+    fn start_with(node: &str, sink: Sink, ring_lines: usize) -> Self {
         let shared = Arc::new(Shared {
             node: node.into(),
             sink,
-            ring: ArrayQueue::new(ring),
-            lost: AtomicU64::new(0),
-            stopped: AtomicBool::new(false),
-            writing: Mutex::new(()),
-            asleep: AtomicBool::new(false),
-            writer: OnceLock::new(),
+            ring: ArrayQueue::new(ring_lines),
+            dropped: AtomicU64::new(0),
+            is_stopped: AtomicBool::new(false),
+            write_lock: Mutex::new(()),
+            is_parked: AtomicBool::new(false),
+            writer_thread: OnceLock::new(),
             budgets: Event::ALL.iter().map(|_| Budget::default()).collect(),
         });
-        let writer = shared.clone();
+        let writer_shared = shared.clone();
         let handle = thread::Builder::new()
             .name("journal".into())
-            .spawn(move || writer.run())
-            .expect("a thread can be started");
-        // Set once, right here.
-        let _ = shared.writer.set(handle.thread().clone());
+            .spawn(move || writer_shared.run_writer())
+            .expect("the journal's writer thread can be started");
+        // This is the only place that sets the thread, so `set` can't fail.
+        let _ = shared.writer_thread.set(handle.thread().clone());
         Self { shared }
     }
 
-    /// Writes a line about `event`, without waiting.
+    /// Writes a line about `event` with the text `details`, without blocking.
+    ///
+    /// In a journal that writes text, the line does not count towards the event's budget.
     pub fn write(&self, event: Event, details: Arguments<'_>) {
         match self.shared.sink {
             Sink::Logger if log::log_enabled!(target: "rilltrack", event.level()) => {
@@ -160,126 +171,133 @@
         }
     }
 
-    /// Writes a line about `event` with fields of their own, without waiting. A
-    /// line beyond the event's budget for the second is passed over and counted.
+    /// Writes a line about `event` with `fields`, without blocking.
+    ///
+    /// A line beyond the event's budget for the current second is dropped and
+    /// counted.
     pub fn record(&self, event: Event, fields: &[Field<'_>]) {
         let now = SystemTime::now();
-        if !self.shared.budgets[event.index()].takes(now) {
-            self.shared.lost.fetch_add(1, Ordering::Relaxed);
+        if !self.shared.budgets[event.index()].try_spend(now) {
+            self.shared.dropped.fetch_add(1, Ordering::Relaxed);
             return;
         }
         let text = match self.shared.sink {
-            Sink::Logger => plain(fields),
-            Sink::Json(_) => json(&self.shared.node, event, now, fields),
+            Sink::Logger => plain_text(fields),
+            Sink::Json(_) => json_line(&self.shared.node, event, now, fields),
         };
         self.push(event, text);
     }
 
     fn push(&self, event: Event, text: String) {
         let line = Line {
-            at: SystemTime::now(),
+            time: SystemTime::now(),
             event,
             text,
         };
         if self.shared.ring.push(line).is_err() {
-            self.shared.lost.fetch_add(1, Ordering::Relaxed);
+            self.shared.dropped.fetch_add(1, Ordering::Relaxed);
         }
-        self.shared.wake();
+        self.shared.wake_writer();
     }
 
-    /// Returns the number of lines lost so far.
+    /// Returns the number of lines dropped so far.
     pub fn lost(&self) -> u64 {
-        self.shared.lost.load(Ordering::Relaxed)
+        self.shared.dropped.load(Ordering::Relaxed)
     }
 
-    /// Writes what waits and ends the writer.
+    /// Writes all waiting lines and tells the writer thread to end.
     pub fn stop(&self) {
-        self.shared.stopped.store(true, Ordering::Relaxed);
-        self.shared.wake();
-        self.shared.drain();
+        self.shared.is_stopped.store(true, Ordering::Relaxed);
+        self.shared.wake_writer();
+        self.shared.write_waiting();
         log::logger().flush();
     }
 }
 
 impl Budget {
-    fn takes(&self, now: SystemTime) -> bool {
-        let second = (unix_ms(now) / 1000) as u32;
+    /// Counts a line at `now` and returns whether it is within the budget.
+    fn try_spend(&self, now: SystemTime) -> bool {
+        let second = (unix_millis(now) / 1000) as u32;
         if self.second.swap(second, Ordering::Relaxed) != second {
-            self.lines.store(0, Ordering::Relaxed);
+            self.line_count.store(0, Ordering::Relaxed);
         }
-        self.lines.fetch_add(1, Ordering::Relaxed) < BUDGET
+        self.line_count.fetch_add(1, Ordering::Relaxed) < MAX_LINES_PER_SECOND
     }
 }
 
 impl Shared {
-    fn run(&self) {
-        let mut reported = 0;
-        while !self.stopped.load(Ordering::Relaxed) {
-            self.drain();
-            reported = self.report(reported);
-            self.asleep.store(true, Ordering::SeqCst);
-            // A line that came before the flag was set woke nobody.
+    /// Runs the writer thread until the journal is stopped.
+    fn run_writer(&self) {
+        let mut reported_drops = 0;
+        while !self.is_stopped.load(Ordering::Relaxed) {
+            self.write_waiting();
+            reported_drops = self.report_drops(reported_drops);
+            self.is_parked.store(true, Ordering::SeqCst);
+            // A line pushed before the flag was set did not wake the writer.
             if self.ring.is_empty() {
                 thread::park();
             }
-            self.asleep.store(false, Ordering::SeqCst);
-            thread::sleep(GATHER);
+            self.is_parked.store(false, Ordering::SeqCst);
+            thread::sleep(BATCH_DELAY);
         }
     }
 
-    fn wake(&self) {
-        if self.asleep.swap(false, Ordering::SeqCst)
-            && let Some(writer) = self.writer.get()
+    fn wake_writer(&self) {
+        if self.is_parked.swap(false, Ordering::SeqCst)
+            && let Some(writer_thread) = self.writer_thread.get()
         {
-            writer.unpark();
+            writer_thread.unpark();
         }
     }
 
-    /// Tells how many lines were lost since `reported`.
-    fn report(&self, reported: u64) -> u64 {
-        let lost = self.lost.load(Ordering::Relaxed);
-        if lost > reported {
-            let (at, event) = (SystemTime::now(), Event::LinesLost);
-            let lines = lost - reported;
-            let fields: [Field<'_>; 1] = [("lines", &lines)];
+    /// Writes a line with the number of drops beyond the `reported` ones, if
+    /// any, and returns the number of all drops.
+    fn report_drops(&self, reported: u64) -> u64 {
+        let dropped = self.dropped.load(Ordering::Relaxed);
+        if dropped > reported {
+            let (time, event) = (SystemTime::now(), Event::LinesLost);
+            let unreported = dropped - reported;
+            let fields: [Field<'_>; 1] = [("lines", &unreported)];
             let text = match self.sink {
-                Sink::Logger => plain(&fields),
-                Sink::Json(_) => json(&self.node, event, at, &fields),
+                Sink::Logger => plain_text(&fields),
+                Sink::Json(_) => json_line(&self.node, event, time, &fields),
             };
-            self.emit(vec![Line { at, event, text }]);
+            self.write_lines(vec![Line { time, event, text }]);
         }
-        lost
+        dropped
     }
 
-    fn drain(&self) {
-        // Else a process that stops ends while the writer has its last lines in hand.
-        let _writing = self.writing.lock();
+    /// Writes all lines that wait in the ring.
+    fn write_waiting(&self) {
+        // Without the lock, `stop` could return, and the process end, while the writer
+        // thread still held lines that it had taken out of the ring.
+        let _guard = self.write_lock.lock();
         let lines: Vec<Line> = std::iter::from_fn(|| self.ring.pop()).collect();
         if !lines.is_empty() {
-            self.emit(lines);
+            self.write_lines(lines);
         }
     }
 
-    fn emit(&self, lines: Vec<Line>) {
+    fn write_lines(&self, lines: Vec<Line>) {
         match &self.sink {
-            Sink::Logger => lines.iter().for_each(|line| self.log(line)),
+            Sink::Logger => lines.iter().for_each(|line| self.log_line(line)),
             Sink::Json(out) => {
                 let text: String = lines.into_iter().map(|line| line.text).collect();
                 let mut out = out.lock();
-                // Nobody reads: there is nowhere left to say so.
+                // The output can't be written, so the error can't be logged either.
                 let _ = out.write_all(text.as_bytes()).and_then(|()| out.flush());
             }
         }
     }
 
-    fn log(&self, line: &Line) {
+    fn log_line(&self, line: &Line) {
         let (event, text) = (line.event, &line.text);
         log::log!(
             target: "rilltrack",
             event.level(),
-            // When it happened, not when the writer came to it.
+            // The time of the event, not of the write.
             "{} E{:03} {} node={} {text}",
-            unix_ms(line.at),
+            unix_millis(line.time),
             event.code(),
             event.name(),
             self.node
@@ -287,15 +305,17 @@
     }
 }
 
-fn plain(fields: &[Field<'_>]) -> String {
+/// Returns the fields as `name=value`, separated by spaces.
+fn plain_text(fields: &[Field<'_>]) -> String {
     let fields = fields.iter().map(|(name, value)| format!("{name}={value}"));
     fields.collect::<Vec<_>>().join(" ")
 }
 
-fn json(node: &str, event: Event, at: SystemTime, fields: &[Field<'_>]) -> String {
+/// Returns a line of JSON. Values that are whole numbers of up to 15 digits are not quoted.
+fn json_line(node: &str, event: Event, time: SystemTime, fields: &[Field<'_>]) -> String {
     let mut text = format!(
         "{{\"ms\":{},\"code\":{},\"event\":\"{}\",\"level\":\"{}\",\"node\":\"{node}\"",
-        unix_ms(at),
+        unix_millis(time),
         event.code(),
         event.name(),
         event.level()
@@ -313,8 +333,8 @@
     text
 }
 
-fn unix_ms(at: SystemTime) -> u128 {
-    at.duration_since(SystemTime::UNIX_EPOCH)
+fn unix_millis(time: SystemTime) -> u128 {
+    time.duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default()
         .as_millis()
 }
