--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,4 +1,4 @@
-//! Where log lines go.
+//! Sets up the destination of log lines.
 
 use std::{error::Error, path::Path};
 
@@ -12,17 +12,19 @@
     encode::pattern::PatternEncoder,
 };
 
-const PATTERN: &str = "{d(%Y-%m-%dT%H:%M:%S)(utc)} {l} {m}{n}";
+/// The format of a line: UTC time, level, message.
+const LINE_PATTERN: &str = "{d(%Y-%m-%dT%H:%M:%S)(utc)} {l} {m}{n}";
 
-/// Sends log lines to `file`, or to standard error.
+/// Starts logging to `file`, or to standard error if there is none.
 ///
-/// Libraries' own lines are kept from warnings up.
+/// Lines of other libraries are logged from level `warn`, those of rilltrack
+/// from `info`.
 ///
 /// # Errors
 ///
-/// If the file can't be written or logging was started before.
+/// If the file can't be opened or logging was started before.
 pub fn start(file: Option<&Path>) -> Result<(), Box<dyn Error>> {
-    let encoder = Box::new(PatternEncoder::new(PATTERN));
+    let encoder = Box::new(PatternEncoder::new(LINE_PATTERN));
     let appender: Box<dyn log4rs::append::Append> = match file {
         Some(path) => Box::new(FileAppender::builder().encoder(encoder).build(path)?),
         None => Box::new(
@@ -40,7 +42,7 @@
     Ok(())
 }
 
-/// Returns an error with all its causes, as one line.
+/// Returns the messages of `error` and all its causes, joined by `: `.
 pub fn chain(error: &dyn Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
