--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and gauges of one daemon, for Prometheus.
+//! Prometheus metrics of one daemon.
 
 use std::sync::atomic::{AtomicI64, AtomicU64};
 
@@ -17,15 +17,15 @@
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    /// Requests by what became of them.
+    /// Requests by outcome.
     pub requests: Family<Fate, Counter<u64, AtomicU64>>,
-    /// Seconds from a request's arrival to the start of its answer.
+    /// Seconds from the arrival of a request to the start of its answer.
     pub latency: Histogram,
-    /// Further attempts after a first one.
+    /// Attempts after the first one of a request.
     pub retries: Counter<u64, AtomicU64>,
     /// Requests shed by the inbound proxy.
     pub shed: Counter<u64, AtomicU64>,
-    /// Requests in flight at the target on this host.
+    /// Requests in progress at the target on this host.
     pub running: Gauge<i64, AtomicI64>,
     /// Bytes of frames sent to and received from other nodes.
     pub control_bytes: Family<Direction, Counter<u64, AtomicU64>>,
@@ -37,29 +37,29 @@
     pub log_appends: Counter<u64, AtomicU64>,
     /// The log offset of the version in force.
     pub version: Gauge<i64, AtomicI64>,
-    /// Members known.
+    /// Number of members that this node knows.
     pub members: Gauge<i64, AtomicI64>,
-    /// Log lines lost.
+    /// Number of log lines dropped.
     pub lines_lost: Gauge<i64, AtomicI64>,
 }
 
-/// What became of a request.
+/// The label of a request's metric.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, EncodeLabelSet)]
 pub struct Fate {
-    /// An outcome as callers see it.
+    /// The outcome, as reported to the caller.
     pub outcome: String,
 }
 
-/// Which way bytes went.
+/// The label for the direction of traffic between nodes.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, EncodeLabelSet)]
 pub struct Direction {
     /// `sent` or `received`.
     pub direction: &'static str,
 }
 
-/// Bytes that left this node.
+/// The label of bytes sent by this node.
 pub const SENT: Direction = Direction { direction: "sent" };
-/// Bytes that came to this node.
+/// The label of bytes received by this node.
 pub const RECEIVED: Direction = Direction {
     direction: "received",
 };
@@ -71,7 +71,7 @@
 }
 
 impl Metrics {
-    /// Returns metrics that all stand at zero.
+    /// Returns metrics that are all zero.
     pub fn new() -> Self {
         let mut metrics = Self {
             registry: Registry::with_prefix("rilltrack"),
@@ -93,61 +93,61 @@
     }
 
     fn register(&mut self) {
-        let r = &mut self.registry;
-        r.register(
+        let registry = &mut self.registry;
+        registry.register(
             "requests",
             "Requests by what became of them",
             self.requests.clone(),
         );
-        r.register(
+        registry.register(
             "latency_seconds",
             "Arrival to start of answer",
             self.latency.clone(),
         );
-        r.register(
+        registry.register(
             "retries",
             "Attempts after a first one",
             self.retries.clone(),
         );
-        r.register(
+        registry.register(
             "shed",
             "Requests shed by the inbound proxy",
             self.shed.clone(),
         );
-        r.register(
+        registry.register(
             "running",
             "Requests in flight at the targets here",
             self.running.clone(),
         );
-        r.register(
+        registry.register(
             "control_bytes",
             "Frame bytes between nodes",
             self.control_bytes.clone(),
         );
-        r.register("frames", "Frames sent to other nodes", self.frames.clone());
-        r.register(
+        registry.register("frames", "Frames sent to other nodes", self.frames.clone());
+        registry.register(
             "log_reads",
             "Reads of the platform's log",
             self.log_reads.clone(),
         );
-        r.register(
+        registry.register(
             "log_appends",
             "Appends to the platform's log",
             self.log_appends.clone(),
         );
-        r.register(
+        registry.register(
             "version_offset",
             "Log offset in force",
             self.version.clone(),
         );
-        r.register("members", "Members known", self.members.clone());
-        r.register("log_lines_lost", "Log lines lost", self.lines_lost.clone());
+        registry.register("members", "Members known", self.members.clone());
+        registry.register("log_lines_lost", "Log lines lost", self.lines_lost.clone());
     }
 
     /// Returns the metrics in the OpenMetrics text format.
     pub fn text(&self) -> String {
         let mut text = String::new();
-        encode(&mut text, &self.registry).expect("a String takes all text");
+        encode(&mut text, &self.registry).expect("writing to a String does not fail");
         text
     }
 }
