--- a/src/event.rs
+++ b/src/event.rs
@@ -1,13 +1,13 @@
-//! Numbered log events. The [`Journal`] writes them.
+//! Numbered log events, which the [`Journal`] writes.
 //!
-//! Operators filter and alert by number; docs/EVENTS.md is their catalogue and
-//! a test holds it equal to this list.
+//! Operators filter and alert by number. docs/EVENTS.md lists the events, and a
+//! test checks that its list equals this one.
 
 pub use crate::journal::Journal;
 
 macro_rules! events {
     ($($code:literal $level:ident $name:ident: $meaning:literal;)*) => {
-        /// Something worth a log line.
+        /// A kind of log event, with a number, a level and a meaning.
         #[derive(Clone, Copy, Debug, Eq, PartialEq)]
         pub enum Event {
             $(#[doc = $meaning] $name,)*
@@ -17,27 +17,27 @@
             /// All events in the order of their numbers.
             pub const ALL: &[Self] = &[$(Self::$name,)*];
 
-            /// Returns its place in [`Event::ALL`].
+            /// Returns the event's index in [`Event::ALL`].
             pub const fn index(self) -> usize {
                 self as usize
             }
 
-            /// Returns the number.
+            /// Returns the event's number.
             pub const fn code(self) -> u16 {
                 match self { $(Self::$name => $code,)* }
             }
 
-            /// Returns the name.
+            /// Returns the event's name.
             pub const fn name(self) -> &'static str {
                 match self { $(Self::$name => stringify!($name),)* }
             }
 
-            /// Returns the level it is logged at.
+            /// Returns the level at which the event is logged.
             pub const fn level(self) -> log::Level {
                 match self { $(Self::$name => log::Level::$level,)* }
             }
 
-            /// Returns what it means, in a sentence.
+            /// Returns the event's meaning, in a sentence.
             pub const fn meaning(self) -> &'static str {
                 match self { $(Self::$name => $meaning,)* }
             }
