--- a/src/words.rs
+++ b/src/words.rs
@@ -1,6 +1,8 @@
-//! Enumerations that are written as words, in headers, keys and messages.
+//! Text forms of enumerations, as used in headers, keys and messages.
 
-/// Gives an enumeration `Display` and `FromStr` by one table of words.
+/// Implements `Display` and `FromStr` for an enumeration by a table of its variants' words.
+///
+/// `$unknown` makes the error for a text that is not in the table.
 macro_rules! words {
     ($type:ident, $error:ty = $unknown:expr, $($variant:ident: $word:literal),* $(,)?) => {
         impl std::fmt::Display for $type {
@@ -17,7 +19,7 @@
             fn from_str(text: &str) -> Result<Self, $error> {
                 match text {
                     $($word => Ok(Self::$variant),)*
-                    unknown => Err($unknown(unknown.to_owned())),
+                    other => Err($unknown(other.to_owned())),
                 }
             }
         }
