--- a/tests/product.rs
+++ b/tests/product.rs
@@ -1,5 +1,5 @@
-//! The product around the core: settings, configuration files, the tool and
-//! its exit codes, the event catalogue, TLS.
+//! Tests of settings, configuration files, the journal, units, the event
+//! catalogue, the command-line tool and its exit codes, and TLS between nodes.
 
 mod support;
 
@@ -29,19 +29,21 @@
 const DAEMON: &str = env!("CARGO_BIN_EXE_rilltrackd");
 const TOOL: &str = env!("CARGO_BIN_EXE_rilltrack");
 
-/// Names each case of plain tests.
+/// Defines tests by name and body.
 macro_rules! cases {
     ($($name:ident => $body:block)*) => {
         $(#[test] fn $name() $body)*
     };
 }
 
+/// Returns the faults of daemon settings, one per line.
 fn faults_of_settings(text: &str) -> String {
     let document = Document::parse("s.jsonc", text).unwrap();
     let faults = Settings::from_document(&document).unwrap_err();
     faults.iter().map(|fault| format!("{fault}\n")).collect()
 }
 
+/// Returns the faults of a configuration file, one per line.
 fn faults_of_files(text: &str) -> String {
     let document = match Document::parse("f.jsonc", text) {
         Ok(document) => document,
@@ -51,17 +53,18 @@
     faults.iter().map(|fault| format!("{fault}\n")).collect()
 }
 
-fn example(name: &str) -> PathBuf {
+/// Returns the path of an example in `examples/config`.
+fn example_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("examples/config")
         .join(name)
 }
 
-/// Keeps what is written, and takes a moment for it.
+/// Stores the bytes written, with a delay of 1 ms per write.
 #[derive(Clone, Default)]
-struct Kept(std::sync::Arc<std::sync::Mutex<Vec<u8>>>);
+struct SlowBuffer(std::sync::Arc<std::sync::Mutex<Vec<u8>>>);
 
-impl std::io::Write for Kept {
+impl std::io::Write for SlowBuffer {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         std::thread::sleep(std::time::Duration::from_millis(1));
         self.0.lock().unwrap().extend_from_slice(bytes);
@@ -76,14 +79,14 @@
 cases! {
     example_files_have_no_faults => {
         for name in ["obliteratori-trinacria.jsonc", "fensterwerk.jsonc"] {
-            let files = Files::read(&[example(name)]).unwrap_or_else(|faults| panic!("{faults:?}"));
+            let files = Files::read(&[example_path(name)]).unwrap_or_else(|faults| panic!("{faults:?}"));
             assert_eq!(files.warnings(), []);
         }
-        Settings::read(&example("rilltrackd.jsonc")).unwrap();
+        Settings::read(&example_path("rilltrackd.jsonc")).unwrap();
     }
 
-    all_contradictions_of_settings_come_at_once_with_their_lines => {
-        let text = fs::read_to_string(example("rilltrackd.jsonc")).unwrap();
+    all_settings_faults_are_reported_together_with_their_lines => {
+        let text = fs::read_to_string(example_path("rilltrackd.jsonc")).unwrap();
         let text = text
             .replace("\"period\": \"1s\"", "\"period\": \"100ms\"")
             .replace("127.0.0.1:7001", "127.0.0.1:7000")
@@ -98,8 +101,8 @@
         ");
     }
 
-    unknown_setting_is_refused => {
-        let text = fs::read_to_string(example("rilltrackd.jsonc")).unwrap();
+    unknown_setting_is_rejected => {
+        let text = fs::read_to_string(example_path("rilltrackd.jsonc")).unwrap();
         let text = text.replace("\"drain\": \"30s\"", "\"drian\": \"30s\"");
         let faults = faults_of_settings(&text);
         assert!(faults.starts_with("s.jsonc:30: `requests.drian`: unknown field `drian`"), "{faults}");
@@ -117,7 +120,7 @@
         insta::assert_snapshot!(faults_of_files(text));
     }
 
-    what_selects_nothing_is_warned_of_by_name => {
+    unused_resources_and_selectors_without_match_are_warned_about => {
         let text = r#"[
   {"kind": "domain", "name": "d", "labels": {"region": "south"}},
   {"kind": "policy", "name": "p", "timeout": "5s", "slots": 1, "queue": 1, "class": "normal", "repeat": "never"},
@@ -134,12 +137,12 @@
         ]);
     }
 
-    file_that_is_not_json_names_the_line => {
+    invalid_json_is_reported_with_its_line => {
         let faults = faults_of_files("[\n  {\"kind\": \"domain\",, }\n]");
         assert!(faults.starts_with("f.jsonc:2: is not JSON"), "{faults}");
     }
 
-    faults_of_a_host_process_come_at_once => {
+    all_host_settings_faults_are_reported_together => {
         let text = r#"{ "node": "n1", "domain": "x", "service": "A B",
   "listen": {"callers": "127.0.0.1:1"},
   "store": "10.200.1.7", "heartbeat": "1500ms",
@@ -164,7 +167,7 @@
         assert_eq!(fields, ["grace", "resend.ratio"]);
     }
 
-    request_is_traced_over_several_logs => {
+    request_is_traced_across_the_lines_of_several_nodes => {
         let mut trace = rilltrack::tool::trace::Trace::default();
         let lines: [&[u8]; 7] = [
             br#"{"ms":12,"code":410,"event":"Admitted","level":"INFO","node":"n2","id":"a1"}"#,
@@ -189,10 +192,10 @@
         ]);
     }
 
-    lines_are_bounded_and_never_wait_for_their_reader => {
-        // A reader that takes nothing: the writer's thread hangs in its first write.
-        struct Stuck(std::sync::mpsc::Receiver<()>);
-        impl std::io::Write for Stuck {
+    journal_drops_lines_instead_of_blocking_on_a_stuck_output => {
+        // An output that takes no bytes: the writer thread hangs in its first write.
+        struct StuckOutput(std::sync::mpsc::Receiver<()>);
+        impl std::io::Write for StuckOutput {
             fn write(&mut self, _: &[u8]) -> std::io::Result<usize> {
                 let _ = self.0.recv();
                 Err(std::io::ErrorKind::BrokenPipe.into())
@@ -201,43 +204,43 @@
                 Ok(())
             }
         }
-        let (release, stuck) = std::sync::mpsc::channel();
-        let journal = rilltrack::journal::Journal::start_json("n1", Box::new(Stuck(stuck)));
+        let (release, released) = std::sync::mpsc::channel();
+        let journal = rilltrack::journal::Journal::start_json("n1", Box::new(StuckOutput(released)));
         for i in 0..100_000 {
             journal.record(Event::Routed, &[("id", &i)]);
         }
-        // It came through, and nearly all were passed over and counted.
+        // No call blocked, and nearly all lines were dropped and counted.
         assert!(journal.lost() > 90_000, "{}", journal.lost());
         drop(release);
     }
 
-    // A line that the writer had in hand as the journal stopped was not written yet when the
-    // process went on to its end: seen once, as an empty text where a line was due.
+    // `stop` once returned while the writer thread held a line that it had taken out of the
+    // ring but not yet written. The process could end without it: the output was empty.
     stopped_journal_has_written_every_line => {
         for i in 0..300 {
-            let kept = Kept::default();
-            let journal = rilltrack::journal::Journal::start_json("n1", Box::new(kept.clone()));
+            let buffer = SlowBuffer::default();
+            let journal = rilltrack::journal::Journal::start_json("n1", Box::new(buffer.clone()));
             journal.record(Event::Stopped, &[("id", &i)]);
-            // Until the writer may have it in hand.
+            // Varies the delay, so that in some rounds the writer holds the line at the stop.
             std::thread::sleep(std::time::Duration::from_micros(i));
             journal.stop();
-            assert!(!kept.0.lock().unwrap().is_empty(), "line {i} is not written");
+            assert!(!buffer.0.lock().unwrap().is_empty(), "line {i} is not written when `stop` returns");
         }
     }
 
-    lines_are_objects_with_their_fields => {
-        let kept = Kept::default();
-        let journal = rilltrack::journal::Journal::start_json("n1", Box::new(kept.clone()));
+    json_lines_hold_their_fields => {
+        let buffer = SlowBuffer::default();
+        let journal = rilltrack::journal::Journal::start_json("n1", Box::new(buffer.clone()));
         journal.record(Event::Refused, &[("id", &"a\"b\n"), ("status", &503), ("version", &7)]);
         journal.stop();
-        let text = String::from_utf8(kept.0.lock().unwrap().clone()).unwrap();
+        let text = String::from_utf8(buffer.0.lock().unwrap().clone()).unwrap();
         let line: serde_json::Value = serde_json::from_str(text.trim_end()).unwrap();
         assert_eq!(line["id"], "a\"b\n");
         assert_eq!((line["status"].as_u64(), line["code"].as_u64()), (Some(503), Some(404)));
         assert_eq!(line["event"], "Refused");
     }
 
-    quantities_are_written_as_they_are_read => {
+    quantities_round_trip_through_text => {
         for text in ["0ms", "250ms", "17s", "10min", "3h", "2d"] {
             assert_eq!(text.parse::<Span>().unwrap().to_string(), text);
         }
@@ -268,25 +271,27 @@
     }
 }
 
-fn tool(daemon: &Process, args: &[&str]) -> (i32, String) {
-    let at = daemon.listen.operators.to_string();
-    code(
+/// Runs the command-line tool against `daemon`; returns its exit code and output.
+fn run_tool(daemon: &Process, args: &[&str]) -> (i32, String) {
+    let address = daemon.listen.operators.to_string();
+    exit_code_and_text(
         Command::new(TOOL)
-            .args(["--daemon", &at])
+            .args(["--daemon", &address])
             .args(args)
             .output()
             .unwrap(),
     )
 }
 
-fn code(output: Output) -> (i32, String) {
+/// Returns the exit code, and standard output followed by standard error.
+fn exit_code_and_text(output: Output) -> (i32, String) {
     let text = String::from_utf8_lossy(&output.stdout).into_owned()
         + &String::from_utf8_lossy(&output.stderr);
     (output.status.code().unwrap(), text)
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn tool_tells_outcomes_by_exit_code() {
+async fn tool_reports_outcomes_by_exit_code() {
     let log = Log::start();
     let mesh = processes(
         Path::new(DAEMON),
@@ -294,7 +299,7 @@
         &[("a1", "palermo"), ("b1", "catania")],
     )
     .await;
-    let file = example("obliteratori-trinacria.jsonc");
+    let file = example_path("obliteratori-trinacria.jsonc");
     let file = file.to_str().unwrap();
     let dir = TempDir::new().unwrap();
     let write = |name: &str, text: &str| {
@@ -304,45 +309,56 @@
     };
 
     assert_eq!(
-        code(Command::new(TOOL).args(["check", file]).output().unwrap()).0,
+        exit_code_and_text(Command::new(TOOL).args(["check", file]).output().unwrap()).0,
         0
     );
-    let (accepted, said) = tool(&mesh[0], &["publish", file, "--wait", "20s"]);
-    assert_eq!(accepted, 0, "{said}");
-    assert!(said.contains("is in force on all 2 nodes"), "{said}");
-    assert!(tool(&mesh[1], &["diff", file]).1.contains("no difference"));
+    let (exit_code, text) = run_tool(&mesh[0], &["publish", file, "--wait", "20s"]);
+    assert_eq!(exit_code, 0, "{text}");
+    assert!(text.contains("is in force on all 2 nodes"), "{text}");
+    assert!(
+        run_tool(&mesh[1], &["diff", file])
+            .1
+            .contains("no difference")
+    );
 
-    // A part of the configuration refers to what is in force.
+    // A part of the configuration may refer to resources in force that it does not contain.
     let part = write(
         "part.jsonc",
         r#"[{"kind": "service", "name": "receipts", "labels": {"data": "cards"}, "policy": "lookup"}]"#,
     );
-    assert_eq!(tool(&mesh[1], &["publish", &part]).0, 0);
+    assert_eq!(run_tool(&mesh[1], &["publish", &part]).0, 0);
 
     let broken = write(
         "broken.jsonc",
         r#"[{"kind": "service", "name": "x", "policy": "none"}]"#,
     );
-    assert_eq!(tool(&mesh[0], &["publish", &broken]).0, 3);
+    assert_eq!(run_tool(&mesh[0], &["publish", &broken]).0, 3);
     let policy_only = write(
         "policy.jsonc",
         r#"[{"kind": "policy", "name": "ledger", "timeout": "1s", "slots": 1,
         "queue": 1, "class": "normal", "repeat": "never"}]"#,
     );
-    assert_eq!(tool(&mesh[1], &["publish", &policy_only, "--prune"]).0, 0);
-    let gone = tool(&mesh[0], &["rollback", "0.1", "--wait", "20s"]);
-    assert_eq!(gone.0, 0, "{}", gone.1);
-    assert!(tool(&mesh[1], &["diff", file]).1.contains("no difference"));
-    let expected = tool(
+    assert_eq!(
+        run_tool(&mesh[1], &["publish", &policy_only, "--prune"]).0,
+        0
+    );
+    let rolled_back = run_tool(&mesh[0], &["rollback", "0.1", "--wait", "20s"]);
+    assert_eq!(rolled_back.0, 0, "{}", rolled_back.1);
+    assert!(
+        run_tool(&mesh[1], &["diff", file])
+            .1
+            .contains("no difference")
+    );
+    let conflict = run_tool(
         &mesh[1],
         &["label", "domain/palermo", "a=b", "--expect", "0.1"],
     );
-    assert_eq!(expected.0, 4, "{}", expected.1);
+    assert_eq!(conflict.0, 4, "{}", conflict.1);
     assert_eq!(
-        tool(&mesh[1], &["label", "domain/palermo", "jurisdiction=fr"]).0,
+        run_tool(&mesh[1], &["label", "domain/palermo", "jurisdiction=fr"]).0,
         0
     );
-    let explained = tool(&mesh[0], &["explain", "/balance/fare-rules"]);
+    let explained = run_tool(&mesh[0], &["explain", "/balance/fare-rules"]);
     assert!(
         explained
             .1
@@ -350,24 +366,24 @@
         "{}",
         explained.1
     );
-    assert!(tool(&mesh[0], &["history"]).1.contains("back to 0.1"));
+    assert!(run_tool(&mesh[0], &["history"]).1.contains("back to 0.1"));
     assert!(
-        tool(&mesh[0], &["--json", "status"])
+        run_tool(&mesh[0], &["--json", "status"])
             .1
             .contains("\"ready\":true")
     );
 
     log.set_mood(Mood::Down);
-    assert_eq!(tool(&mesh[0], &["label", "domain/palermo", "a=b"]).0, 6);
+    assert_eq!(run_tool(&mesh[0], &["label", "domain/palermo", "a=b"]).0, 6);
     log.set_mood(Mood::Hanging);
-    assert_eq!(tool(&mesh[0], &["label", "domain/palermo", "a=b"]).0, 5);
+    assert_eq!(run_tool(&mesh[0], &["label", "domain/palermo", "a=b"]).0, 5);
     log.set_mood(Mood::Well);
-    let at = mesh[1].listen.operators.to_string();
+    let address = mesh[1].listen.operators.to_string();
     drop(mesh);
     assert_eq!(
-        code(
+        exit_code_and_text(
             Command::new(TOOL)
-                .args(["--daemon", &at, "status"])
+                .args(["--daemon", &address, "status"])
                 .output()
                 .unwrap()
         )
@@ -376,7 +392,7 @@
     );
 }
 
-/// An authority and certificates that it signs, for 127.0.0.1.
+/// A certificate authority, with the certificates that it has issued for 127.0.0.1.
 struct Authority {
     issuer: rcgen::Issuer<'static, rcgen::KeyPair>,
     dir: TempDir,
@@ -396,25 +412,28 @@
         }
     }
 
+    /// Issues a certificate for `name` in `domain`; returns the setting `security`
+    /// with it.
     fn issue(&self, name: &str, domain: &str) -> serde_json::Value {
         let key = rcgen::KeyPair::generate().unwrap();
         let names = vec!["127.0.0.1".to_owned(), format!("{name}.{domain}")];
         let params = rcgen::CertificateParams::new(names).unwrap();
         let certificate = params.signed_by(&key, &self.issuer).unwrap();
-        let path = |end: &str| self.dir.path().join(format!("{name}.{end}"));
+        let path = |extension: &str| self.dir.path().join(format!("{name}.{extension}"));
         fs::write(path("pem"), certificate.pem()).unwrap();
         fs::write(path("key"), key.serialize_pem()).unwrap();
         json!({"tls": {"certificate": path("pem"), "key": path("key"),
             "authority": self.dir.path().join("authority.pem")}})
     }
 
-    /// Returns a client that proves to be `name` in `domain`.
+    /// Returns an HTTP client with a certificate for `name` in `domain`.
     fn client(&self, name: &str, domain: &str) -> reqwest::Client {
         let security = serde_json::from_value(self.issue(name, domain)).unwrap();
         tls::proven(http::client(), &security).unwrap()
     }
 
-    /// Starts a daemon, and operates it by a certificate of this authority.
+    /// Starts a daemon, whose operator interface the test calls with a certificate
+    /// of this authority.
     fn start(&self, settings: &serde_json::Value) -> Process {
         let process = Process::start(Path::new(DAEMON), settings);
         let operator = self.client("operator", "rilltrack.internal");
@@ -425,7 +444,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn only_nodes_with_the_authoritys_certificate_are_peers() {
-    let (log, authority, stranger) = (Log::start(), Authority::new(), Authority::new());
+    let (log, authority, other_authority) = (Log::start(), Authority::new(), Authority::new());
     let start =
         |name: &str, domain: &str, authority: &Authority, seeds: &[std::net::SocketAddr]| {
             let mut settings = settings(name, domain, &log.url(), seeds);
@@ -454,7 +473,7 @@
         .unwrap();
     assert_eq!(response.text().await.unwrap(), "t /s ");
 
-    // A certificate is for one node in one failure domain.
+    // A certificate is valid for one node in one failure domain only.
     for (node, domain) in [("d1", "palermo"), ("a9", "catania")] {
         let mut settings = settings(node, domain, &log.url(), &[a.listen.peers]);
         settings["security"] = authority.issue("a9", "palermo");
@@ -464,18 +483,19 @@
         knows(&a.listen, 2).await;
     }
 
-    // Nodes may watch each other but not publish; operators may, by the tool too.
+    // A node's certificate allows reading metrics but no publishing. An operator's allows
+    // both, also through the tool.
     let change = mesh::change(a.listen.operators, "theirs", Vec::new()).await;
-    let (at, node) = (a.listen.operators, authority.client("b1", "catania"));
+    let (address, node) = (a.listen.operators, authority.client("b1", "catania"));
     let metrics = node
-        .get(format!("https://{at}/metrics"))
+        .get(format!("https://{address}/metrics"))
         .send()
         .await
         .unwrap();
     assert_eq!(metrics.status().as_u16(), 200);
     let body = serde_json::to_vec(&change).unwrap();
     let refused = node
-        .post(format!("https://{at}/changes"))
+        .post(format!("https://{address}/changes"))
         .body(body)
         .send()
         .await
@@ -483,11 +503,11 @@
     assert_eq!(refused.status().as_u16(), 403);
     let files = authority.issue("operator", "rilltrack.internal");
     let file = |name: &str| files["tls"][name].as_str().unwrap().to_owned();
-    let at = at.to_string();
+    let address = address.to_string();
     let mut tool = Command::new(TOOL);
     tool.args([
         "--daemon",
-        &at,
+        &address,
         "--certificate",
         &file("certificate"),
         "--key",
@@ -500,34 +520,36 @@
         "domain/palermo",
         "a=b",
     ]);
-    assert_eq!(code(tool.output().unwrap()).0, 0);
-    let plain = Command::new(TOOL)
-        .args(["--daemon", &at, "status"])
+    assert_eq!(exit_code_and_text(tool.output().unwrap()).0, 0);
+    let without_certificate = Command::new(TOOL)
+        .args(["--daemon", &address, "status"])
         .output()
         .unwrap();
-    assert_ne!(code(plain).0, 0);
+    assert_ne!(exit_code_and_text(without_certificate).0, 0);
 
-    // A node of another authority, and plain HTTP, get nowhere.
-    let c = start("c1", "palermo", &stranger, &[a.listen.peers]);
+    // Nodes reject a node with a certificate of another authority, requests in plain HTTP and
+    // TLS clients without a certificate.
+    let c = start("c1", "palermo", &other_authority, &[a.listen.peers]);
     ready(&c.listen).await;
     knows(&c.listen, 1).await;
     knows(&a.listen, 2).await;
     for address in [a.listen.peers, b.listen.inbound] {
-        let sent = client()
+        let plaintext = client()
             .get(format!("http://{address}/s"))
             .header("rilltrack-service", "s")
             .send()
             .await;
-        assert!(sent.is_err() || !sent.unwrap().status().is_success());
-        let insecure = client_without_certificate()
+        assert!(plaintext.is_err() || !plaintext.unwrap().status().is_success());
+        let anonymous = client_without_certificate()
             .get(format!("https://{address}/s"))
             .send()
             .await;
-        assert!(insecure.is_err());
+        assert!(anonymous.is_err());
     }
     assert_eq!(target.hits(), 1);
 }
 
+/// Returns an HTTP client that has no certificate and accepts any server's.
 fn client_without_certificate() -> reqwest::Client {
     http::client()
         .tls_danger_accept_invalid_certs(true)
