--- a/examples/fleet.rs
+++ b/examples/fleet.rs
@@ -202,7 +202,7 @@
     fn in_force(&self) -> Vec<HashMap<Version, u64>> {
         self.processes
             .iter()
-            .map(|process| versions(&process.lines()))
+            .map(|process| versions(&process.log_text()))
             .collect()
     }
 }
--- a/examples/load.rs
+++ b/examples/load.rs
@@ -284,7 +284,7 @@
             target.delay_ms.store(service_ms, Ordering::SeqCst);
             target.slots.store(slots as u64, Ordering::SeqCst);
             attach(&target, &node.listen, &listens).await;
-            target.forget_waiting();
+            target.reset_slots();
             targets.push(target);
         }
         Self {
@@ -440,7 +440,7 @@
                 show(&row, &args.out);
                 // What is left at the targets must not weigh on the next run.
                 tokio::time::sleep(Duration::from_secs(3)).await;
-                mesh.targets.iter().for_each(Target::forget_waiting);
+                mesh.targets.iter().for_each(Target::reset_slots);
             }
         }
         println!("capacity {capacity:.0}/s, log calls {:?}", mesh.log.calls());
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -352,8 +352,8 @@
         let head = "POST /s/digest HTTP/1.1\r\nhost: h\r\ntransfer-encoding: chunked\r\n\r\n";
         let part = "186A0\r\n".to_owned() + &"x".repeat(100_000) + "\r\n";
         raw::exchange(mesh.daemons[0].listen.callers, (head.to_owned() + &part).as_bytes()).await;
-        until("the target sees it end", || async { (target.ended() == 1).then_some(()) }).await;
-        assert_eq!(target.whole.load(Ordering::SeqCst), 0);
+        until("the target sees it end", || async { (target.ended_bodies() == 1).then_some(()) }).await;
+        assert_eq!(target.complete_bodies.load(Ordering::SeqCst), 0);
         // Chunked and too large is found out under way.
         let body = futures_util::stream::iter((0..40).map(|_| Ok::<_, std::io::Error>(vec![0u8; 65_536])));
         let sent = client().post(mesh.url(0, "/s/digest")).body(reqwest::Body::wrap_stream(body)).send();
@@ -362,8 +362,8 @@
         if let Ok(response) = sent.await {
             assert_ne!(outcome(&response), "answered");
         }
-        until("the target sees it end", || async { (target.ended() == 2).then_some(()) }).await;
-        assert_eq!(target.whole.load(Ordering::SeqCst), 0);
+        until("the target sees it end", || async { (target.ended_bodies() == 2).then_some(()) }).await;
+        assert_eq!(target.complete_bodies.load(Ordering::SeqCst), 0);
     }
 
     sigterm_cuts_off_neither_upload_nor_download => {
@@ -402,7 +402,7 @@
         let answer = call.await.unwrap().unwrap().bytes().await.unwrap();
         assert_eq!(answer.len(), 50_000);
         for node in &mut nodes {
-            assert_eq!(node.ended().await, Some(0));
+            assert_eq!(node.wait().await, Some(0));
         }
     }
 
@@ -428,7 +428,7 @@
         let mesh = two_nodes(json!({})).await;
         let mut target = Target::start("t", "s");
         target.http2 = true;
-        attach(&target, &mesh.daemons[1].listen, &mesh.listens()).await;
+        attach(&target, &mesh.daemons[1].listen, &mesh.listen_addresses()).await;
         let response = client().post(mesh.url(0, "/s")).body("x").send().await.unwrap();
         assert_eq!(response.headers()["x-version"], "HTTP/2.0");
         let body: Vec<u8> = (0..200_000u32).map(|i| i as u8).collect();
--- a/tests/support/local.rs
+++ b/tests/support/local.rs
@@ -1,4 +1,4 @@
-//! A mesh of daemons within the test's own process.
+//! A mesh of daemons in the process of the test.
 
 use std::net::SocketAddr;
 
@@ -16,14 +16,15 @@
     until,
 };
 
+/// Running daemons and their log.
 pub struct Mesh {
     pub log: Log,
     pub daemons: Vec<Daemon>,
 }
 
 impl Mesh {
-    /// Starts daemons `n0`, `n1`, … in these domains, with `resources` in
-    /// force.
+    /// Starts daemons `n0`, `n1`, … in these domains and publishes `resources`.
+    /// Returns once the resources are in force at all of them.
     pub async fn start(domains: &[&str], resources: &[Value]) -> Self {
         let log = Log::start();
         let mut daemons: Vec<Daemon> = Vec::new();
@@ -50,6 +51,7 @@
         mesh
     }
 
+    /// Publishes operations and waits until they are in force at all daemons.
     pub async fn publish(&self, id: &str, ops: Vec<Op>) {
         let version = publish(self.daemons[0].listen.operators, id, ops).await;
         for daemon in &self.daemons {
@@ -57,22 +59,25 @@
         }
     }
 
-    pub fn listens(&self) -> Vec<&Listen> {
+    /// Returns the addresses that each daemon listens on.
+    pub fn listen_addresses(&self) -> Vec<&Listen> {
         self.daemons.iter().map(|daemon| &daemon.listen).collect()
     }
 
-    /// Starts a target of `service` beside daemon `i`.
+    /// Starts target `t{i}` of `service` beside daemon `i`, and returns once all
+    /// daemons know it.
     pub async fn target(&self, i: usize, service: &str) -> Target {
         let target = Target::start(&format!("t{i}"), service);
-        attach(&target, &self.daemons[i].listen, &self.listens()).await;
+        attach(&target, &self.daemons[i].listen, &self.listen_addresses()).await;
         target
     }
 
-    /// Announces any address as a target of `service` beside daemon `i`.
+    /// Announces `address` once as a target of `service` beside daemon `i`, and
+    /// returns once all daemons know it.
     pub async fn announce(&self, i: usize, service: &str, address: SocketAddr) {
         let at = self.daemons[i].listen.targets;
         target::announce(at, service, address, false).await;
-        for listen in self.listens() {
+        for listen in self.listen_addresses() {
             until("the target is known", || async {
                 let report = mesh::report(listen).await?;
                 report
@@ -86,11 +91,12 @@
         }
     }
 
+    /// Returns the URL of `path` at the callers address of daemon `i`.
     pub fn url(&self, i: usize, path: &str) -> String {
         format!("http://{}{path}", self.daemons[i].listen.callers)
     }
 
-    /// Gets one idempotency key for `service` at daemon `i`.
+    /// Requests an idempotency key for `service` from daemon `i`.
     pub async fn key(&self, i: usize, service: &str) -> String {
         let url = self.url(i, &format!("/rilltrack/keys?service={service}"));
         let response = super::client().post(url).send().await.unwrap();
@@ -101,14 +107,15 @@
             .to_owned()
     }
 
-    /// Stops daemon `i` in good order.
+    /// Shuts daemon `i` down gracefully and removes it from `daemons`.
     pub async fn stop(&mut self, i: usize) {
         let daemon = self.daemons.remove(i);
         tokio::task::spawn_blocking(|| daemon.stop()).await.unwrap();
     }
 }
 
-/// A mesh in which service `name` follows a policy with these fields changed.
+/// Returns the resources of a mesh with one service, `name`, whose requests may
+/// go to any domain. Fields in `changed` override the policy below.
 pub fn resources(domains: &[&str], name: &str, changed: Value) -> Vec<Value> {
     let mut policy = json!({
         "kind": "policy", "name": "p", "timeout": "5s", "slots": 4, "queue": 8,
--- a/tests/support/log.rs
+++ b/tests/support/log.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's log: offsets, limited retention, outages.
+//! A stand-in for the platform's log, with offsets, retention and injected faults.
 
 use std::{
     collections::HashMap,
@@ -18,29 +18,31 @@
 };
 use tokio::sync::Notify;
 
-/// How the log behaves.
+/// How the log answers calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Mood {
-    /// As it should.
+    /// Calls succeed.
     #[default]
     Well,
-    /// Every call is refused at once.
+    /// Every call fails at once with status 503.
     Down,
-    /// Every call hangs until the caller gives up.
+    /// Every call hangs until the caller times out.
     Hanging,
-    /// Appends take effect, but their answers are lost.
+    /// Appends take effect, but are answered with status 504.
     LosingAnswers,
 }
 
 #[derive(Default)]
 struct Stream {
-    first: u64,
+    /// Offset of the first retained record.
+    first_offset: u64,
     records: Vec<Bytes>,
 }
 
 impl Stream {
-    fn next(&self) -> u64 {
-        self.first + self.records.len() as u64
+    /// Returns the offset of the next record to be appended.
+    fn next_offset(&self) -> u64 {
+        self.first_offset + self.records.len() as u64
     }
 }
 
@@ -53,21 +55,22 @@
     read_bytes: u64,
 }
 
-/// The stand-in; clones share one log.
+/// A running stand-in; clones share one log.
 #[derive(Clone)]
 pub struct Log {
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
+    /// Wakes waiting reads after an append or a change of mood.
     changed: Arc<Notify>,
 }
 
 impl Log {
-    /// Starts a log on a free port, in a thread of its own.
+    /// Starts a log on a free loopback port, in a separate thread.
     pub fn start() -> Self {
         Self::start_at(SocketAddr::from(([127, 0, 0, 1], 0)))
     }
 
-    /// Starts a log at an address, in a thread of its own.
+    /// Starts a log at `address`, in a separate thread.
     pub fn start_at(address: SocketAddr) -> Self {
         let socket = TcpListener::bind(address).unwrap();
         socket.set_nonblocking(true).unwrap();
@@ -77,7 +80,7 @@
             state: Arc::default(),
             changed: Arc::default(),
         };
-        let served = log.clone();
+        let handler_log = log.clone();
         std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread()
                 .enable_all()
@@ -86,8 +89,8 @@
             runtime.block_on(async move {
                 let socket = tokio::net::TcpListener::from_std(socket).unwrap();
                 let router = Router::with_path("streams/{stream}/records")
-                    .get(Read(served.clone()))
-                    .post(Append(served));
+                    .get(Read(handler_log.clone()))
+                    .post(Append(handler_log));
                 Server::new(TcpAcceptor::try_from(socket).unwrap())
                     .serve(router)
                     .await;
@@ -100,48 +103,54 @@
         format!("http://{}", self.address)
     }
 
+    /// Sets how calls are answered, also those that wait for records.
     pub fn set_mood(&self, mood: Mood) {
         self.state.lock().mood = mood;
         self.changed.notify_waiters();
     }
 
-    /// Forgets records before `offset`, as retention does.
+    /// Removes the records before `offset`, as retention does.
     pub fn expire(&self, stream: &str, offset: u64) {
         let mut state = self.state.lock();
         let stream = state.streams.entry(stream.into()).or_default();
-        let gone = (offset.saturating_sub(stream.first) as usize).min(stream.records.len());
-        stream.records.drain(..gone);
-        stream.first = offset.max(stream.first);
+        let expired =
+            (offset.saturating_sub(stream.first_offset) as usize).min(stream.records.len());
+        stream.records.drain(..expired);
+        stream.first_offset = offset.max(stream.first_offset);
     }
 
-    /// Loses records from `offset` on, as a broken log does.
+    /// Removes the records from `offset` on, as a log that loses data does.
     pub fn truncate(&self, stream: &str, offset: u64) {
         let mut state = self.state.lock();
         let stream = state.streams.entry(stream.into()).or_default();
-        stream.first = stream.first.min(offset);
-        stream.records.truncate((offset - stream.first) as usize);
+        stream.first_offset = stream.first_offset.min(offset);
+        stream
+            .records
+            .truncate((offset - stream.first_offset) as usize);
     }
 
-    /// Appends a record past all checks.
+    /// Appends a record directly, whatever the mood, and returns its offset.
     pub fn append(&self, stream: &str, record: Bytes) -> u64 {
         let mut state = self.state.lock();
         state.appends += 1;
         let stream = state.streams.entry(stream.into()).or_default();
-        let offset = stream.next();
+        let offset = stream.next_offset();
         stream.records.push(record);
         drop(state);
         self.changed.notify_waiters();
         offset
     }
 
-    pub fn next(&self, stream: &str) -> u64 {
+    /// Returns the offset of the next record of `stream`.
+    pub fn next_offset(&self, stream: &str) -> u64 {
         self.state
             .lock()
             .streams
             .get(stream)
-            .map_or(0, Stream::next)
+            .map_or(0, Stream::next_offset)
     }
 
+    /// Returns the retained records of `stream`.
     pub fn records(&self, stream: &str) -> Vec<Bytes> {
         self.state
             .lock()
@@ -150,7 +159,8 @@
             .map_or_else(Vec::new, |s| s.records.clone())
     }
 
-    /// Calls so far: reads and appends.
+    /// Returns the number of read calls, failed ones included, and of records
+    /// appended.
     pub fn calls(&self) -> (u64, u64) {
         let state = self.state.lock();
         (state.reads, state.appends)
@@ -159,7 +169,7 @@
     fn read(&self, stream: &str, from: u64, limit: usize) -> Batch {
         let mut state = self.state.lock();
         let stream = state.streams.entry(stream.into()).or_default();
-        let (first, next) = (stream.first, stream.next());
+        let (first, next) = (stream.first_offset, stream.next_offset());
         let skip = from.saturating_sub(first) as usize;
         let records = if from < first {
             Vec::new()
@@ -179,7 +189,8 @@
         }
     }
 
-    async fn suffer(&self, res: &mut Response) -> bool {
+    /// Fails or delays a call as the mood says; returns whether it did.
+    async fn inject_fault(&self, res: &mut Response) -> bool {
         let mood = self.state.lock().mood;
         match mood {
             Mood::Well | Mood::LosingAnswers => return false,
@@ -192,6 +203,7 @@
     }
 }
 
+/// Handler of reads, which wait for records as the request asks.
 struct Read(Log);
 
 #[salvo::async_trait]
@@ -199,22 +211,22 @@
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let log = &self.0;
         log.state.lock().reads += 1;
-        if log.suffer(res).await {
+        if log.inject_fault(res).await {
             return;
         }
         let stream = req.param::<String>("stream").unwrap_or_default();
         let from = req.query::<u64>("from").unwrap_or(0);
         let limit = req.query::<usize>("limit").unwrap_or(100);
         let wait = Duration::from_millis(req.query::<u64>("wait_ms").unwrap_or(0));
-        let until = tokio::time::Instant::now() + wait;
+        let deadline = tokio::time::Instant::now() + wait;
         let batch = loop {
             let changed = log.changed.notified();
             let batch = log.read(&stream, from, limit);
-            let has_news = !batch.records.is_empty() || batch.first > from || batch.next < from;
-            if has_news || tokio::time::timeout_at(until, changed).await.is_err() {
+            let is_ready = !batch.records.is_empty() || batch.first > from || batch.next < from;
+            if is_ready || tokio::time::timeout_at(deadline, changed).await.is_err() {
                 break batch;
             }
-            if log.suffer(res).await {
+            if log.inject_fault(res).await {
                 return;
             }
         };
@@ -227,13 +239,14 @@
     }
 }
 
+/// Handler of appends.
 struct Append(Log);
 
 #[salvo::async_trait]
 impl Handler for Append {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let log = &self.0;
-        if log.suffer(res).await {
+        if log.inject_fault(res).await {
             return;
         }
         let stream = req.param::<String>("stream").unwrap_or_default();
--- a/tests/support/mesh.rs
+++ b/tests/support/mesh.rs
@@ -1,4 +1,4 @@
-//! Daemons for tests: as processes of their own, or within the test.
+//! Daemons in separate processes, and calls to their operators addresses.
 
 use std::{
     collections::BTreeMap,
@@ -22,7 +22,8 @@
 
 use super::{log::Log, target::Target, until};
 
-/// The settings of a daemon of a small mesh with fast membership.
+/// Returns the settings of a daemon of a small mesh, with short membership
+/// intervals so that tests converge quickly.
 pub fn settings(node: &str, domain: &str, log: &str, seeds: &[SocketAddr]) -> Value {
     let any = "127.0.0.1:0";
     json!({
@@ -37,7 +38,7 @@
     })
 }
 
-/// A daemon in a process of its own; killed when dropped.
+/// A daemon in a separate process, killed on drop.
 pub struct Process {
     pub name: String,
     pub listen: Listen,
@@ -47,7 +48,8 @@
 }
 
 impl Process {
-    /// Starts `program` with `settings` and waits until it listens.
+    /// Starts `program` with `settings` and waits until it has printed the
+    /// addresses it listens on.
     pub fn start(program: &Path, settings: &Value) -> Self {
         let dir = TempDir::new().unwrap();
         let log_file = dir.path().join("log");
@@ -78,28 +80,31 @@
         }
     }
 
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends a signal by number.
+    /// Sends a signal, given by its number.
     pub fn signal(&self, signal: i32) {
         // SAFETY: the process is a child that has not been waited for.
         unsafe { libc::kill(self.child.id() as i32, signal) };
     }
 
-    /// Waits until the process has ended; returns its exit code.
-    pub async fn ended(&mut self) -> Option<i32> {
+    /// Waits until the process has terminated; returns its exit code, or `None`
+    /// if a signal terminated it.
+    pub async fn wait(&mut self) -> Option<i32> {
         let child = &mut self.child;
-        until("the process ends", || {
-            let ended = child.try_wait().unwrap();
-            async move { ended }
+        until("the process has terminated", || {
+            let status = child.try_wait().unwrap();
+            async move { status }
         })
         .await
         .code()
     }
 
-    pub fn lines(&self) -> String {
+    /// Returns what the daemon has written to its log file.
+    pub fn log_text(&self) -> String {
         let mut text = String::new();
         std::fs::File::open(&self.log_file)
             .unwrap()
@@ -111,22 +116,23 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended before.
+        // The process may have terminated already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// Clients for operators addresses that want a certificate.
-static OPERATORS: Mutex<BTreeMap<SocketAddr, reqwest::Client>> = Mutex::new(BTreeMap::new());
+/// Clients by operators address, for addresses that require a client certificate.
+static OPERATOR_CLIENTS: Mutex<BTreeMap<SocketAddr, reqwest::Client>> = Mutex::new(BTreeMap::new());
 
-/// Uses `client` over TLS for an operators address from now on.
+/// Makes later calls to the operators address `at` use `client` over TLS.
 pub fn operate(at: SocketAddr, client: &reqwest::Client) {
-    OPERATORS.lock().insert(at, client.clone());
+    OPERATOR_CLIENTS.lock().insert(at, client.clone());
 }
 
-fn operator(at: SocketAddr, path: &str) -> (reqwest::Client, String) {
-    match OPERATORS.lock().get(&at) {
+/// Returns the client and the URL of `path` for an operators address.
+fn operator_endpoint(at: SocketAddr, path: &str) -> (reqwest::Client, String) {
+    match OPERATOR_CLIENTS.lock().get(&at) {
         Some(client) => (client.clone(), format!("https://{at}/{path}")),
         None => (super::client(), format!("http://{at}/{path}")),
     }
@@ -134,7 +140,7 @@
 
 /// Gets JSON from an operators address.
 pub async fn get<T: serde::de::DeserializeOwned>(at: SocketAddr, path: &str) -> Option<T> {
-    let (client, url) = operator(at, path);
+    let (client, url) = operator_endpoint(at, path);
     let response = client.get(url).send().await.ok()?;
     serde_json::from_slice(&response.bytes().await.ok()?).ok()
 }
@@ -145,7 +151,7 @@
     path: &str,
     body: &impl serde::Serialize,
 ) -> Option<T> {
-    let (client, url) = operator(at, path);
+    let (client, url) = operator_endpoint(at, path);
     let sent = client
         .post(url)
         .body(serde_json::to_vec(body).unwrap())
@@ -154,6 +160,7 @@
     serde_json::from_slice(&sent.ok()?.bytes().await.ok()?).ok()
 }
 
+/// Gets the status of a daemon.
 pub async fn report(listen: &Listen) -> Option<Report> {
     get(listen.operators, "status").await
 }
@@ -166,19 +173,19 @@
     .await;
 }
 
-/// Waits until the daemon has `version` in force.
+/// Waits until the daemon is ready with `version` or a newer one in force.
 pub async fn reached(listen: &Listen, version: Version) {
-    let at = || async {
+    let check = || async {
         report(listen)
             .await
             .filter(|r| r.ready && r.anchor.version >= version)
     };
-    until("the version is in force", at).await;
+    until("the version is in force", check).await;
 }
 
-/// Waits until the daemon knows `count` members that are alive.
+/// Waits until the daemon knows exactly `count` members that are alive.
 pub async fn knows(listen: &Listen, count: usize) {
-    until("the members are known", || async {
+    until("all members are known", || async {
         let report = report(listen).await?;
         let alive = report
             .members
@@ -190,12 +197,12 @@
     .await;
 }
 
-/// Makes a change on the state that the daemon at `at` holds.
+/// Returns a change based on the current state of the daemon at `at`.
 pub async fn change(at: SocketAddr, id: &str, ops: Vec<Op>) -> Change {
-    let held: Resources = get(at, "resources").await.unwrap();
+    let current: Resources = get(at, "resources").await.unwrap();
     Change {
         id: id.parse().unwrap(),
-        base: held.anchor,
+        base: current.anchor,
         expect: None,
         author: "test".into(),
         note: String::new(),
@@ -203,21 +210,21 @@
     }
 }
 
-/// Publishes operations; returns the version they are in force from.
+/// Publishes operations; returns the version from which they are in force.
 ///
 /// # Panics
 ///
-/// If they are not accepted.
+/// Panics if the operations are not accepted.
 pub async fn publish(at: SocketAddr, id: &str, ops: Vec<Op>) -> Version {
     let change = change(at, id, ops).await;
     match post(at, "changes", &change).await {
         Some(Published::Decided(outcome)) if outcome.verdict.is_accepted() => outcome.version,
-        other => panic!("not accepted: {other:?}"),
+        other => panic!("change {id:?} was not accepted: {other:?}"),
     }
 }
 
-/// Operations for a mesh of `domains` in one region, with one service that
-/// may go anywhere in it.
+/// Returns operations for a mesh of `domains` in one region, with one service
+/// whose requests may go to any domain of the region.
 pub fn basic_ops(domains: &[&str], service: &str) -> Vec<Op> {
     let mut resources = Vec::new();
     for domain in domains {
@@ -232,16 +239,17 @@
     ops(&resources)
 }
 
-/// Operations that put resources written as in configuration files.
+/// Returns operations that put `resources`, written as in configuration files.
 pub fn ops(resources: &[Value]) -> Vec<Op> {
     let text = Value::from(resources.to_vec()).to_string();
     let document = rilltrack::document::Document::parse("test", &text).unwrap();
-    let read = rilltrack::files::Files::parse_only(&document)
+    let parsed = rilltrack::files::Files::parse_only(&document)
         .expect("resources of the test are well-formed");
-    read.into_iter().map(Op::Put).collect()
+    parsed.into_iter().map(Op::Put).collect()
 }
 
-/// Starts one daemon for each `(node, domain)`, all seeded with the first.
+/// Starts one daemon for each `(node, domain)`, with the first as the seed of the
+/// others. Returns once all are ready and know each other.
 pub async fn processes(program: &Path, log: &Log, nodes: &[(&str, &str)]) -> Vec<Process> {
     let mut started: Vec<Process> = Vec::new();
     for (node, domain) in nodes {
@@ -262,11 +270,11 @@
     started
 }
 
-/// Announces `target` to the daemon until every daemon of `mesh` knows it, and
-/// keeps announcing in the background.
+/// Announces `target` to the daemon at `to` and waits until every daemon of `mesh`
+/// knows it. Repeats the announcement every 2 s in the background.
 pub async fn attach(target: &Target, to: &Listen, mesh: &[&Listen]) {
     let (target, at) = (target.clone(), to.targets);
-    until("the announcement is taken", || async {
+    until("the announcement is accepted", || async {
         target.announce(at).await.then_some(())
     })
     .await;
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,5 +1,8 @@
-//! Small stand-ins and helpers for tests and examples.
-#![allow(dead_code, reason = "every test file uses its own part of this")]
+//! Stand-ins and helpers for tests and examples.
+#![allow(
+    dead_code,
+    reason = "each test file uses a different subset of these helpers"
+)]
 
 pub mod link;
 pub mod local;
@@ -11,31 +14,33 @@
 
 use std::time::{Duration, Instant};
 
-/// Waits until `check` holds. The limit only ends a test that hangs: it is far
-/// beyond what any step takes, so no verdict depends on timing.
+/// Polls `check` until it returns a value, and returns that value. The limit of
+/// 60 s only stops a hanging test: no step takes nearly as long, so no result
+/// depends on timing.
 pub async fn until<F, T>(what: &str, mut check: impl FnMut() -> F) -> T
 where
     F: Future<Output = Option<T>>,
 {
-    let since = Instant::now();
+    let start = Instant::now();
     loop {
-        if let Some(found) = check().await {
-            return found;
+        if let Some(value) = check().await {
+            return value;
         }
         assert!(
-            since.elapsed() < Duration::from_secs(60),
-            "never came: {what}"
+            start.elapsed() < Duration::from_secs(60),
+            "timed out waiting until {what}"
         );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Returns an HTTP client that does nothing behind the test's back.
+/// Returns an HTTP/1.1 client that follows no redirects, retries nothing and uses
+/// no proxy.
 pub fn client() -> reqwest::Client {
     rilltrack::transport::http::client().build().unwrap()
 }
 
-/// Processor seconds of a process so far.
+/// Returns the processor time that a process has used so far, in seconds.
 pub fn cpu_seconds(id: u32) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
     let fields: Vec<&str> = text
@@ -50,20 +55,22 @@
             .and_then(|f| f.parse::<f64>().ok())
             .unwrap_or(0.0)
     };
-    // User and system time, in hundredths of a second.
+    // Fields 11 and 12 after the command name are user and system time, in
+    // hundredths of a second.
     (ticks(11) + ticks(12)) / 100.0
 }
 
-/// Largest resident memory of a process so far, in bytes.
+/// Returns the largest resident memory of a process so far, in bytes.
 pub fn peak_memory(id: u32) -> f64 {
     status_bytes(id, "VmHWM:")
 }
 
-/// Resident memory of a process, in bytes.
+/// Returns the resident memory of a process, in bytes.
 pub fn resident(id: u32) -> f64 {
     status_bytes(id, "VmRSS:")
 }
 
+/// Returns a field of `/proc/{id}/status` in bytes, or 0 if it can't be read.
 fn status_bytes(id: u32, field: &str) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
     let line = text
--- a/tests/support/raw.rs
+++ b/tests/support/raw.rs
@@ -1,4 +1,5 @@
-//! Targets that misbehave, and callers that do: raw bytes over TCP.
+//! Targets and callers that send raw bytes over TCP, to violate HTTP or break
+//! connections.
 
 use std::{
     net::SocketAddr,
@@ -13,19 +14,20 @@
     net::{TcpListener, TcpStream},
 };
 
-/// Serves each request on each connection by `answer`, which gets the number
-/// of the request; `None` closes the connection without an answer. Returns
-/// the address and the count of requests.
+/// Starts a target that answers each request with the bytes that `answer` returns
+/// for its serial number. `None` closes the connection without an answer; any
+/// answer but one with the body `ok` closes it afterwards. Returns the address and
+/// the count of requests.
 pub async fn target(
     answer: impl Fn(u64) -> Option<Vec<u8>> + Send + Sync + 'static,
 ) -> (SocketAddr, Arc<AtomicU64>) {
     let socket = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = socket.local_addr().unwrap();
     let hits = Arc::new(AtomicU64::new(0));
-    let (answer, counted) = (Arc::new(answer), hits.clone());
+    let (answer, counter) = (Arc::new(answer), hits.clone());
     tokio::spawn(async move {
         while let Ok((stream, _)) = socket.accept().await {
-            tokio::spawn(serve(stream, answer.clone(), counted.clone()));
+            tokio::spawn(serve(stream, answer.clone(), counter.clone()));
         }
     });
     (address, hits)
@@ -39,14 +41,14 @@
     while read_request(&mut stream).await.is_some() {
         let number = hits.fetch_add(1, Ordering::SeqCst);
         let Some(bytes) = answer(number) else { return };
-        let closes = !bytes.ends_with(b"\r\n\r\nok");
-        if stream.write_all(&bytes).await.is_err() || closes {
+        let must_close = !bytes.ends_with(b"\r\n\r\nok");
+        if stream.write_all(&bytes).await.is_err() || must_close {
             return;
         }
     }
 }
 
-/// Reads the head of a request and as much body as its length says.
+/// Reads the head of a request and a body of its content length.
 async fn read_request(stream: &mut TcpStream) -> Option<()> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
@@ -61,39 +63,39 @@
     Some(())
 }
 
-/// Sends `bytes` and returns all that comes back before the connection ends
-/// or stands still.
+/// Sends `bytes` and returns all bytes received until the connection closes or
+/// nothing arrives for 700 ms.
 pub async fn exchange(to: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(to).await.unwrap();
-    // A server may answer and close before it has read all.
+    // The server may answer and close before it has read all bytes.
     let _ = stream.write_all(bytes).await;
     let mut answer = Vec::new();
-    let mut piece = [0; 4096];
+    let mut chunk = [0; 4096];
     loop {
         let read = tokio::time::timeout(
             std::time::Duration::from_millis(700),
-            stream.read(&mut piece),
+            stream.read(&mut chunk),
         )
         .await;
         match read {
-            Ok(Ok(count)) if count > 0 => answer.extend(&piece[..count]),
+            Ok(Ok(count)) if count > 0 => answer.extend(&chunk[..count]),
             _ => return String::from_utf8_lossy(&answer).into(),
         }
     }
 }
 
-/// Sends `bytes` and returns all that comes back until the other end closes,
-/// however long that takes. The limit only ends a test that hangs.
+/// Sends `bytes` and returns all bytes received until the peer closes the
+/// connection. The limit of 60 s only stops a hanging test.
 pub async fn until_closed(to: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(to).await.unwrap();
-    // A server may answer and close before it has read all.
+    // The server may answer and close before it has read all bytes.
     let _ = stream.write_all(bytes).await;
     let mut answer = Vec::new();
     let read = stream.read_to_end(&mut answer);
     let limit = std::time::Duration::from_secs(60);
-    // A reset ends the answer as well: what came of it counts.
+    // A reset ends the answer as well; the bytes received before it are returned.
     let _ = tokio::time::timeout(limit, read)
         .await
-        .expect("the connection ends");
+        .expect("the connection closes in time");
     String::from_utf8_lossy(&answer).into()
 }
--- a/tests/support/scenario.rs
+++ b/tests/support/scenario.rs
@@ -1,37 +1,44 @@
-//! A small test language: one step a line, run against real processes.
+//! Runs failure scenarios against real processes.
 //!
-//! Steps (`NODES` is a list with commas, or `all` for those that run):
+//! A scenario has one step per line; `#` starts a comment. `NODES` is a
+//! comma-separated list of nodes, or `all` for all running nodes. The steps:
 //!
 //! ```text
-//! start NODES DOMAIN            start daemons, each in a process of its own
+//! start NODES DOMAIN            start daemons, each in a separate process
 //! ready NODES                   wait until they hold a complete view
-//! known NODES COUNT             wait until they know so many alive members
-//! kill|freeze|thaw|term NODES   send a signal; `term` waits for exit code 0
-//! log down|hanging|losing|well  how the platform's log behaves
-//! log expire|truncate STREAM N  what the log forgets, or loses
-//! log noise                     append a record that is none of ours
-//! cut A B, heal                 links between domains, or to `platform`
+//! known NODES COUNT             wait until they know exactly COUNT alive members
+//! kill|freeze|thaw|term NODES   send a signal; `term` expects exit code 0
+//! log down|hanging|losing|well  set how the platform's log answers
+//! log expire|truncate STREAM N  remove records before, or from, offset N
+//! log noise                     append a record that cannot be decoded
+//! cut A B, heal                 partition two domains, or a domain and
+//!                               `platform`; restore all paths
 //! mesh ID NODE DOMAINS SERVICE  publish a small mesh through NODE
-//! label ID NODE KEY K=V VERDICT publish a label; what becomes of it
-//! race ID NODE KEY K=V VERDICT  the same, expecting the last `mark`
-//! recover NODE                  begin a new epoch with its state
-//! mark NODE                     remember its version
+//! label ID NODE KEY K=V VERDICT publish a label and check the verdict
+//! race ID NODE KEY K=V VERDICT  the same, on condition that the version is
+//!                               the marked one
+//! recover NODE                  begin a new epoch with the state of NODE
+//! mark NODE                     remember the version of NODE
 //! reach NODES                   wait for the newest accepted version
-//! stay NODES                    they have the marked version, to the digit
-//! same NODES                    wait until they hold the same, digest and all
-//! unready NODE                  it holds no complete view
-//! log count, log reads-below N  fewer reads than that since the count
-//! snapshot                      wait for one more snapshot in the log
-//! target NAME SERVICE NODE      start a target there, known to all
-//! call NODE PATH OUTCOME [FROM] send a GET; its outcome, and who answered
-//! key KEY NODE SERVICE          get an idempotency key through a node
-//! debit KEY NODE OUTCOME        send the keyed request until its outcome is so
-//! hits NAME COUNT               so many requests reached that target
-//! pause MS                      let time pass (for what must not happen)
+//! stay NODES                    assert that they have exactly the marked
+//!                               version and digest
+//! same NODES                    wait until they have the same version and digest
+//! unready NODE                  assert that it has no complete view
+//! log count, log reads-below N  assert fewer than N reads since `log count`
+//! snapshot                      wait for a new snapshot in the log
+//! target NAME SERVICE NODE      start a target beside NODE, wait until all
+//!                               nodes know it
+//! call NODE PATH OUTCOME [FROM] send a GET until its outcome is OUTCOME;
+//!                               assert which target answered
+//! key KEY NODE SERVICE          get an idempotency key from NODE
+//! debit KEY NODE OUTCOME        send a POST with the key until its outcome is
+//!                               OUTCOME
+//! hits NAME COUNT               assert that COUNT requests reached the target
+//! pause MS                      wait, to assert that something doesn't happen
 //! ```
 //!
-//! At the end of every scenario, no process ever went back to an older
-//! version, by its own log.
+//! After `term`, and at the end for all processes that still run, the log file of
+//! a process is checked: the versions that it put in force must never decrease.
 
 use std::{collections::BTreeMap, net::SocketAddr, path::Path};
 
@@ -54,19 +61,23 @@
     until,
 };
 
-pub struct World {
+/// The state of a running scenario.
+pub struct Runner {
     program: std::path::PathBuf,
     log: Log,
     links: Links,
-    to_log: Relay,
+    log_relay: Relay,
     processes: BTreeMap<String, Process>,
     domains: BTreeMap<String, String>,
-    /// Where others reach a node, which seeds name.
-    reached_at: BTreeMap<String, SocketAddr>,
+    /// Address of the relay in front of each node's peers address.
+    peer_relays: BTreeMap<String, SocketAddr>,
+    /// The newest version that a step has published or recovered.
     accepted: Version,
     marked: Option<Report>,
-    snapshots: u64,
-    reads: u64,
+    /// Offset after the last snapshot that a step has waited for.
+    snapshots_end: u64,
+    /// Read calls of the log at the last `log count`.
+    counted_reads: u64,
     targets: BTreeMap<String, Target>,
     keys: BTreeMap<String, String>,
 }
@@ -75,20 +86,20 @@
 pub async fn run(program: &Path, text: &str) {
     let log = Log::start();
     let links = Links::default();
-    let to_log = links.relay([127, 0, 0, 1].into(), PLATFORM);
-    to_log.behind.set(log.address).unwrap();
-    let mut world = World {
+    let log_relay = links.relay([127, 0, 0, 1].into(), PLATFORM);
+    log_relay.upstream.set(log.address).unwrap();
+    let mut runner = Runner {
         program: program.into(),
         log,
         links,
-        to_log,
+        log_relay,
         processes: BTreeMap::new(),
         domains: BTreeMap::new(),
-        reached_at: BTreeMap::new(),
+        peer_relays: BTreeMap::new(),
         accepted: Version::default(),
         marked: None,
-        snapshots: 0,
-        reads: 0,
+        snapshots_end: 0,
+        counted_reads: 0,
         targets: BTreeMap::new(),
         keys: BTreeMap::new(),
     };
@@ -101,17 +112,21 @@
             .collect();
         if !words.is_empty() {
             eprintln!("line {}: {line}", number + 1);
-            world.step(&words).await;
+            runner.step(&words).await;
         }
     }
-    world.processes.values().for_each(never_back);
+    runner
+        .processes
+        .values()
+        .for_each(assert_versions_never_decrease);
 }
 
-/// Asserts that the versions a process put in force only ever grew.
-fn never_back(process: &Process) {
+/// Asserts, by the process's log file, that the versions it put in force never
+/// decreased.
+fn assert_versions_never_decrease(process: &Process) {
     let mut last = Version::default();
     for line in process
-        .lines()
+        .log_text()
         .lines()
         .filter(|line| line.contains(" E200 "))
     {
@@ -131,7 +146,8 @@
     }
 }
 
-impl World {
+impl Runner {
+    /// Runs one step, given as the words of its line.
     async fn step(&mut self, words: &[&str]) {
         match words {
             ["start", nodes, domain] => nodes.split(',').for_each(|node| self.start(node, domain)),
@@ -154,8 +170,8 @@
                 for name in self.names(nodes) {
                     let mut process = self.processes.remove(&name).unwrap();
                     process.signal(libc::SIGTERM);
-                    assert_eq!(process.ended().await, Some(0));
-                    never_back(&process);
+                    assert_eq!(process.wait().await, Some(0));
+                    assert_versions_never_decrease(&process);
                 }
             }
             ["log", "down"] => self.log.set_mood(Mood::Down),
@@ -166,17 +182,23 @@
             ["log", "truncate", stream, offset] => {
                 self.log.truncate(stream, offset.parse().unwrap())
             }
-            ["log", "count"] => self.reads = self.log.calls().0,
+            ["log", "count"] => self.counted_reads = self.log.calls().0,
             ["log", "reads-below", count] => {
-                let reads = self.log.calls().0 - self.reads;
-                assert!(reads < count.parse().unwrap(), "{reads} reads");
+                let reads = self.log.calls().0 - self.counted_reads;
+                assert!(
+                    reads < count.parse().unwrap(),
+                    "{reads} reads of the log since the count"
+                );
             }
             ["log", "noise"] => drop(self.log.append("config", "noise".into())),
             ["cut", a, b] => {
                 let known =
                     |d: &&str| *d == PLATFORM || self.domains.values().any(|domain| domain == *d);
-                assert!(known(a) && known(b), "no such domain");
-                self.links.cut(a, b);
+                assert!(
+                    known(a) && known(b),
+                    "unknown failure domain in `cut {a} {b}`"
+                );
+                self.links.partition(a, b);
             }
             ["heal"] => self.links.heal(),
             ["mesh", id, node, domains, service] => {
@@ -189,9 +211,15 @@
                     .await;
             }
             ["race", id, node, key, label, verdict] => {
-                let seen = self.marked.as_ref().unwrap().anchor.version;
-                self.publish(id, node, vec![label_op(key, label)], Some(seen), verdict)
-                    .await;
+                let expected = self.marked.as_ref().unwrap().anchor.version;
+                self.publish(
+                    id,
+                    node,
+                    vec![label_op(key, label)],
+                    Some(expected),
+                    verdict,
+                )
+                .await;
             }
             ["recover", node] => {
                 let at = self.processes[*node].listen.operators;
@@ -235,10 +263,11 @@
             ["pause", ms] => {
                 tokio::time::sleep(std::time::Duration::from_millis(ms.parse().unwrap())).await
             }
-            other => panic!("no such step: {other:?}"),
+            other => panic!("unknown step: {other:?}"),
         }
     }
 
+    /// Returns the names in a list of nodes.
     fn names(&self, nodes: &str) -> Vec<String> {
         match nodes {
             "all" => self.processes.keys().cloned().collect(),
@@ -246,18 +275,20 @@
         }
     }
 
+    /// Runs `step` for each of `nodes`, one after another.
     async fn each(&self, nodes: &str, step: impl AsyncFn(&Process)) {
         for name in self.names(nodes) {
             step(&self.processes[&name]).await;
         }
     }
 
+    /// Starts a daemon whose peers and inbound addresses are behind relays.
     fn start(&mut self, node: &str, domain: &str) {
         let ip = self.links.ip(domain);
         let (peers, inbound) = (self.links.relay(ip, domain), self.links.relay(ip, domain));
         let others = self.processes.keys().filter(|name| *name != node);
-        let seeds: Vec<SocketAddr> = others.map(|name| self.reached_at[name]).take(3).collect();
-        let url = format!("http://{}", self.to_log.address);
+        let seeds: Vec<SocketAddr> = others.map(|name| self.peer_relays[name]).take(3).collect();
+        let url = format!("http://{}", self.log_relay.address);
         let mut settings = mesh::settings(node, domain, &url, &seeds);
         let any = SocketAddr::new(ip, 0);
         settings["listen"]["peers"] = json!(any);
@@ -265,15 +296,16 @@
         settings["advertise"] = json!({"peers": peers.address, "inbound": inbound.address});
         settings["log"]["snapshot_every"] = json!("2s");
         let process = Process::start(&self.program, &settings);
-        peers.behind.set(process.listen.peers).unwrap();
-        inbound.behind.set(process.listen.inbound).unwrap();
-        self.reached_at.insert(node.into(), peers.address);
+        peers.upstream.set(process.listen.peers).unwrap();
+        inbound.upstream.set(process.listen.inbound).unwrap();
+        self.peer_relays.insert(node.into(), peers.address);
         self.domains.insert(node.into(), domain.into());
         self.processes.insert(node.into(), process);
     }
 
-    /// Publishes as the tool does: the same change again while its outcome is
-    /// unknown, unless that is what is expected.
+    /// Publishes operations and checks the result. Retries the same change while its
+    /// outcome is unknown, as the command line tool does, unless `wanted` is
+    /// `unknown`.
     async fn publish(
         &mut self,
         id: &str,
@@ -287,10 +319,10 @@
             expect,
             ..mesh::change(at, id, ops).await
         };
-        let published = until("an answer to the publish", || async {
+        let published = until("the change is decided", || async {
             let published: Published = mesh::post(at, "changes", &change).await?;
-            let settled = wanted == "unknown" || !matches!(published, Published::Unknown(_));
-            settled.then_some(published)
+            let is_final = wanted == "unknown" || !matches!(published, Published::Unknown(_));
+            is_final.then_some(published)
         })
         .await;
         let got = match &published {
@@ -298,18 +330,19 @@
                 if outcome.verdict.is_accepted() {
                     self.accepted = outcome.version;
                 }
-                word(&outcome.verdict)
+                verdict_word(&outcome.verdict)
             }
-            Published::Refused(verdict) => word(verdict),
+            Published::Refused(verdict) => verdict_word(verdict),
             Published::NotAccepted(_) => "not-accepted",
             Published::Unknown(_) => "unknown",
         };
         assert_eq!(got, wanted, "{published:?}");
     }
 
+    /// Waits until `nodes` have the same version and digest.
     async fn same(&self, nodes: &str) {
         let names = self.names(nodes);
-        until("all hold the same", || async {
+        until("all nodes have the same version", || async {
             let first = mesh::report(&self.processes[&names[0]].listen)
                 .await?
                 .anchor;
@@ -324,15 +357,17 @@
         .await;
     }
 
+    /// Waits until the log holds a new snapshot.
     async fn snapshot(&mut self) {
-        let held = self.log.next("snapshots").max(self.snapshots);
-        until("a snapshot in the log", || async {
-            (self.log.next("snapshots") > held).then_some(())
+        let end = self.log.next_offset("snapshots").max(self.snapshots_end);
+        until("the log holds a new snapshot", || async {
+            (self.log.next_offset("snapshots") > end).then_some(())
         })
         .await;
-        self.snapshots = self.log.next("snapshots");
+        self.snapshots_end = self.log.next_offset("snapshots");
     }
 
+    /// Starts a target and waits until all nodes know it.
     async fn target(&mut self, name: &str, service: &str, node: &str) {
         let target = Target::start(name, service);
         let all: Vec<_> = self.processes.values().map(|p| &p.listen).collect();
@@ -340,12 +375,13 @@
         self.targets.insert(name.into(), target);
     }
 
+    /// Sends a request with a key until its outcome is `wanted`.
     async fn debit(&self, key: &str, node: &str, wanted: &str) {
         let url = format!(
             "http://{}/ledger/debit",
             self.processes[node].listen.callers
         );
-        until(&format!("outcome {wanted}"), || async {
+        until(&format!("the outcome is `{wanted}`"), || async {
             let sent = super::client()
                 .post(&url)
                 .header("idempotency-key", &self.keys[key]);
@@ -356,11 +392,11 @@
         .await;
     }
 
-    /// Sends a request until its outcome is as wanted: what the view holds
-    /// may still be on its way.
+    /// Sends a request until its outcome is `wanted`, because members and versions
+    /// may not have reached the node yet. Returns which target answered.
     async fn call(&self, node: &str, path: &str, wanted: &str) -> Option<String> {
         let url = format!("http://{}{path}", self.processes[node].listen.callers);
-        until(&format!("outcome {wanted}"), || async {
+        until(&format!("the outcome is `{wanted}`"), || async {
             let response = super::client().get(&url).send().await.ok()?;
             let outcome = response
                 .headers()
@@ -379,10 +415,12 @@
     }
 }
 
+/// Gets the status of a daemon, which must be reachable.
 async fn report(process: &Process) -> Report {
     mesh::report(&process.listen).await.unwrap()
 }
 
+/// Returns the operation that sets a label, written as `name=value`, on a resource.
 fn label_op(key: &str, label: &str) -> Op {
     let (name, value) = label.split_once('=').unwrap();
     let set = BTreeMap::from([(name.to_owned(), value.to_owned())]);
@@ -393,7 +431,8 @@
     }
 }
 
-fn word(verdict: &Verdict) -> &'static str {
+/// Returns the word for a verdict in a scenario.
+fn verdict_word(verdict: &Verdict) -> &'static str {
     match verdict {
         Verdict::Accepted => "accepted",
         Verdict::Repeated(_) => "repeated",
--- a/tests/support/target.rs
+++ b/tests/support/target.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a target: an HTTP server that announces itself.
+//! A stand-in for a target: an HTTP server that can announce itself to a node.
 
 use std::{
     net::{SocketAddr, TcpListener},
@@ -19,30 +19,33 @@
     http::{ResBody, StatusCode},
 };
 
-/// A running target.
+/// A running target; clones share its counters and behaviour.
 #[derive(Clone)]
 pub struct Target {
     pub name: String,
     pub service: String,
     pub address: SocketAddr,
-    /// Whether it wants to be spoken to in HTTP/2.
+    /// Whether it asks for requests over HTTP/2.
     pub http2: bool,
-    /// Requests that reached it.
+    /// Number of requests that reached it.
     pub hits: Arc<AtomicU64>,
-    /// Milliseconds each request takes.
+    /// Run time of each request, in milliseconds.
     pub delay_ms: Arc<AtomicU64>,
-    /// Requests it runs at a time, 0 for any number; more wait in line.
+    /// Number of requests it runs at a time, 0 for no limit; others are queued. A
+    /// change takes effect at `reset_slots`.
     pub slots: Arc<AtomicU64>,
-    line: Arc<parking_lot::Mutex<Arc<tokio::sync::Semaphore>>>,
-    /// Bodies digested that arrived whole, and that broke off.
-    pub whole: Arc<AtomicU64>,
-    pub broken: Arc<AtomicU64>,
-    /// The status it answers with, 0 for what the path asks for.
+    /// The slots; replaced to discard the queue.
+    permits: Arc<parking_lot::Mutex<Arc<tokio::sync::Semaphore>>>,
+    /// Number of request bodies to `/digest` that arrived complete.
+    pub complete_bodies: Arc<AtomicU64>,
+    /// Number of request bodies to `/digest` that were interrupted.
+    pub interrupted_bodies: Arc<AtomicU64>,
+    /// Status of its answers, 0 for 200.
     pub status: Arc<AtomicU64>,
 }
 
 impl Target {
-    /// Starts a target of `service`, in a thread of its own.
+    /// Starts a target of `service` on a free loopback port, in a separate thread.
     pub fn start(name: &str, service: &str) -> Self {
         let socket = TcpListener::bind("127.0.0.1:0").unwrap();
         socket.set_nonblocking(true).unwrap();
@@ -54,14 +57,14 @@
             hits: Arc::default(),
             delay_ms: Arc::default(),
             slots: Arc::default(),
-            line: Arc::new(parking_lot::Mutex::new(Arc::new(
+            permits: Arc::new(parking_lot::Mutex::new(Arc::new(
                 tokio::sync::Semaphore::new(0),
             ))),
-            whole: Arc::default(),
-            broken: Arc::default(),
+            complete_bodies: Arc::default(),
+            interrupted_bodies: Arc::default(),
             status: Arc::default(),
         };
-        let served = target.clone();
+        let handler = target.clone();
         std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread()
                 .enable_all()
@@ -69,8 +72,8 @@
                 .unwrap();
             runtime.block_on(async move {
                 let socket = tokio::net::TcpListener::from_std(socket).unwrap();
-                let router = Router::with_path("{**rest}").goal(served);
-                let service = Service::new(router).catcher(Catcher::new(Quiet));
+                let router = Router::with_path("{**rest}").goal(handler);
+                let service = Service::new(router).catcher(Catcher::new(NoErrorPage));
                 Server::new(TcpAcceptor::try_from(socket).unwrap())
                     .serve(service)
                     .await;
@@ -79,48 +82,51 @@
         target
     }
 
+    /// Returns the number of requests that reached it.
     pub fn hits(&self) -> u64 {
         self.hits.load(Ordering::SeqCst)
     }
 
-    /// Forgets requests that wait in line, as after a restart.
-    pub fn forget_waiting(&self) {
+    /// Gives new requests a fresh set of `slots` slots, as after a restart: they
+    /// don't wait for requests queued or running before.
+    pub fn reset_slots(&self) {
         let slots = self.slots.load(Ordering::SeqCst) as usize;
-        *self.line.lock() = Arc::new(tokio::sync::Semaphore::new(slots));
+        *self.permits.lock() = Arc::new(tokio::sync::Semaphore::new(slots));
     }
 
-    /// Waits for a slot and takes the time of a request. A target goes on with
-    /// what it began, whether or not the caller still waits.
-    async fn work(&self) {
+    /// Waits for a slot and sleeps for the run time. With limited slots, a request
+    /// goes on after its caller has given up, as at a real target.
+    async fn run(&self) {
         let delay = Duration::from_millis(self.delay_ms.load(Ordering::SeqCst));
         if delay.is_zero() {
-            // Even an empty sleep lasts until the next millisecond.
+            // A sleep of zero lasts until the next millisecond.
             return;
         }
         if self.slots.load(Ordering::SeqCst) == 0 {
             return tokio::time::sleep(delay).await;
         }
-        let line = self.line.lock().clone();
-        let work = tokio::spawn(async move {
-            let _slot = line.acquire_owned().await;
+        let permits = self.permits.lock().clone();
+        let run = tokio::spawn(async move {
+            let _slot = permits.acquire_owned().await;
             tokio::time::sleep(delay).await;
         });
-        // It can't panic and nobody cancels it.
-        let _ = work.await;
+        // The task can't panic and is never aborted.
+        let _ = run.await;
     }
 
-    /// Bodies digested that ended, one way or another.
-    pub fn ended(&self) -> u64 {
-        self.whole.load(Ordering::SeqCst) + self.broken.load(Ordering::SeqCst)
+    /// Returns the number of request bodies to `/digest` that have ended, complete or
+    /// interrupted.
+    pub fn ended_bodies(&self) -> u64 {
+        self.complete_bodies.load(Ordering::SeqCst) + self.interrupted_bodies.load(Ordering::SeqCst)
     }
 
-    /// Announces the target to the node at `to` once.
+    /// Announces the target once to the node at `to`; returns whether it accepted.
     pub async fn announce(&self, to: SocketAddr) -> bool {
         announce(to, &self.service, self.address, self.http2).await
     }
 }
 
-/// Announces a target once; returns whether the node took it.
+/// Announces a target once to the node at `to`; returns whether it accepted.
 pub async fn announce(to: SocketAddr, service: &str, address: SocketAddr, http2: bool) -> bool {
     let announcement = Announcement {
         service: service.parse().unwrap(),
@@ -137,10 +143,11 @@
     sent.is_ok_and(|response| response.status().is_success())
 }
 
-struct Quiet;
+/// Leaves error answers without salvo's error page.
+struct NoErrorPage;
 
 #[salvo::async_trait]
-impl Handler for Quiet {
+impl Handler for NoErrorPage {
     async fn handle(&self, _: &mut Request, _: &mut Depot, _: &mut Response, _: &mut FlowCtrl) {}
 }
 
@@ -148,28 +155,28 @@
 impl Handler for Target {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         self.hits.fetch_add(1, Ordering::SeqCst);
-        self.work().await;
+        self.run().await;
         let status = self.status.load(Ordering::SeqCst) as u16;
         if status != 0 {
             res.status_code(StatusCode::from_u16(status).unwrap());
         }
         let path = req.uri().path().to_owned();
         if path.ends_with("/echo") {
-            let pieces = BodyDataStream::new(req.take_body())
-                .map(|piece| piece.map_err(std::io::Error::other));
-            res.stream(pieces);
+            let chunks = BodyDataStream::new(req.take_body())
+                .map(|chunk| chunk.map_err(std::io::Error::other));
+            res.stream(chunks);
             return;
         }
         if path.ends_with("/digest") {
             let mut body = BodyDataStream::new(req.take_body());
             let mut hasher = blake3::Hasher::new();
-            let mut counter = self.whole.clone();
-            while let Some(piece) = body.next().await {
-                match piece {
-                    Ok(piece) => {
-                        hasher.update(&piece);
+            let mut counter = self.complete_bodies.clone();
+            while let Some(chunk) = body.next().await {
+                match chunk {
+                    Ok(chunk) => {
+                        hasher.update(&chunk);
                     }
-                    Err(_) => counter = self.broken.clone(),
+                    Err(_) => counter = self.interrupted_bodies.clone(),
                 }
             }
             counter.fetch_add(1, Ordering::SeqCst);
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -56,7 +56,7 @@
     let first = &mesh[0];
     support::until("the decision is logged", || async {
         first
-            .lines()
+            .log_text()
             .lines()
             .any(|l| l.contains("E400 Routed node=a1") && l.contains("to=b1"))
             .then_some(())
