--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -1,4 +1,4 @@
-//! What callers feel when targets, nodes and links fail.
+//! Outcomes that callers get when targets, nodes and connections fail.
 
 mod support;
 
@@ -20,10 +20,12 @@
 
 const DOMAINS: [&str; 2] = ["palermo", "catania"];
 
+/// Starts daemons `n0` and `n1` and service `s`, with `policy` over the defaults.
 async fn two_nodes(policy: Value) -> Mesh {
     Mesh::start(&DOMAINS, &resources(&DOMAINS, "s", policy)).await
 }
 
+/// Returns the outcome that a response reports.
 fn outcome(response: &Response) -> &str {
     response
         .headers()
@@ -31,7 +33,7 @@
         .map_or("", |value| value.to_str().unwrap())
 }
 
-/// Names each case, as a test in a runtime of its own.
+/// Defines each case as a test with its own runtime.
 macro_rules! cases {
     ($($name:ident => $body:block)*) => {
         $(#[tokio::test(flavor = "multi_thread")] async fn $name() $body)*
@@ -39,7 +41,7 @@
 }
 
 cases! {
-    answer_cut_short_is_never_passed_on_as_whole => {
+    truncated_answer_is_never_forwarded_as_complete => {
         let answers: [&[u8]; 2] = [
             b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf",
             b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n",
@@ -50,12 +52,12 @@
             mesh.announce(1, "s", address).await;
             let response = client().get(mesh.url(0, "/s")).send().await;
             if let Ok(response) = response {
-                assert!(response.bytes().await.is_err(), "a broken answer must not look whole");
+                assert!(response.bytes().await.is_err(), "a truncated answer must not look complete");
             }
         }
     }
 
-    debit_on_a_dying_kept_connection_is_sent_once => {
+    request_on_a_reused_connection_that_closes_is_sent_once => {
         let mesh = two_nodes(json!({})).await;
         let ok = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok".to_vec();
         let (address, hits) = raw::target(move |number| (number == 0).then(|| ok.clone())).await;
@@ -63,41 +65,41 @@
         let first = client().post(mesh.url(0, "/s")).body("debit 1").send().await.unwrap();
         assert_eq!((first.status().as_u16(), outcome(&first)), (200, "answered"));
         first.bytes().await.unwrap();
-        // Another target is there to be tempted by.
+        // A second target, to which the request must not be sent.
         let other = mesh.target(1, "s").await;
         let second = client().post(mesh.url(0, "/s")).body("debit 2").send().await.unwrap();
         assert_eq!((second.status().as_u16(), outcome(&second)), (502, "unknown"));
         assert_eq!((hits.load(Ordering::SeqCst), other.hits()), (2, 0));
     }
 
-    target_that_refuses_connections_is_not_run => {
+    request_to_a_target_that_refuses_connections_is_not_run => {
         let mesh = two_nodes(json!({})).await;
         let closed = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         mesh.announce(1, "s", closed).await;
         let response = client().post(mesh.url(0, "/s")).body("debit").send().await.unwrap();
         assert_eq!((response.status().as_u16(), outcome(&response)), (503, "not-run"));
         assert!(response.headers().contains_key("retry-after"));
-        // With another target the same request, not run, goes there.
+        // Since it has not run, the request goes to another target once there is one.
         let target = mesh.target(0, "s").await;
         let response = client().post(mesh.url(0, "/s")).body("debit").send().await.unwrap();
         assert_eq!(outcome(&response), "answered");
         assert_eq!(target.hits(), 1);
     }
 
-    streamed_body_is_not_sent_again => {
+    streamed_body_is_not_retried => {
         let mesh = two_nodes(json!({"repeat": "always"})).await;
         let (address, hits) = raw::target(|_| None).await;
         mesh.announce(0, "s", address).await;
         mesh.announce(1, "s", address).await;
-        let pieces = (0..4).map(|_| Ok::<_, std::io::Error>(vec![7u8; 40_000]));
-        let body = reqwest::Body::wrap_stream(futures_util::stream::iter(pieces));
+        let chunks = (0..4).map(|_| Ok::<_, std::io::Error>(vec![7u8; 40_000]));
+        let body = reqwest::Body::wrap_stream(futures_util::stream::iter(chunks));
         let response = client().put(mesh.url(0, "/s")).body(body).send().await.unwrap();
         assert_eq!(outcome(&response), "unknown");
         assert!(hits.load(Ordering::SeqCst) <= 1);
     }
 
-    doubt_of_an_earlier_attempt_is_kept => {
-        // First attempt: may have run. Later ones: certainly not. Together: unknown.
+    unknown_result_of_an_earlier_attempt_is_kept => {
+        // The first attempt may have run; later ones have not. The outcome is unknown.
         let domains = ["palermo", "catania", "messina"];
         let mesh = Mesh::start(&domains, &resources(&domains, "s", json!({"repeat": "always"}))).await;
         let (breaking, _) = raw::target(|_| None).await;
@@ -111,26 +113,27 @@
         assert_eq!(outcome(&response), "unknown");
     }
 
-    doubt_of_a_hedge_is_kept => {
-        // The first copy breaks off, the second certainly does not run.
+    unknown_result_of_a_hedged_attempt_is_kept => {
+        // The connection of the first attempt breaks; the hedge does not run. The outcome
+        // is unknown.
         let mesh = two_nodes(json!({"repeat": "always", "hedge_after": "50ms", "slots": 1})).await;
         let busy = mesh.target(1, "s").await;
         busy.delay_ms.store(3_000, Ordering::SeqCst);
-        let occupying = tokio::spawn(client().get(mesh.url(1, "/s")).send());
+        let busy_call = tokio::spawn(client().get(mesh.url(1, "/s")).send());
         until("the other target is busy", || async { (busy.hits() == 1).then_some(()) }).await;
         let (breaking, broken) = raw::target(|_| { std::thread::sleep(Duration::from_millis(200)); None }).await;
         mesh.announce(0, "s", breaking).await;
         let call = tokio::spawn(client().get(mesh.url(0, "/s")).send());
-        until("the first copy is there", || async { (broken.load(Ordering::SeqCst) == 1).then_some(()) }).await;
+        until("the first attempt reaches its target", || async { (broken.load(Ordering::SeqCst) == 1).then_some(()) }).await;
         tokio::time::sleep(Duration::from_millis(500)).await;
         let at = mesh.daemons[1].listen.operators;
         mesh::post::<Value>(at, "drain", &json!({"service": "s"})).await.unwrap();
         assert_eq!(outcome(&call.await.unwrap().unwrap()), "unknown");
         assert_eq!(busy.hits(), 1);
-        occupying.abort();
+        busy_call.abort();
     }
 
-    callers_get_their_own_answers_though_others_give_up => {
+    callers_get_their_own_answers_while_others_cancel => {
         let mesh = two_nodes(json!({"slots": 64, "queue": 64})).await;
         let target = mesh.target(1, "s").await;
         target.delay_ms.store(20, Ordering::SeqCst);
@@ -141,8 +144,8 @@
             async move {
                 let body = format!("request {i} ").repeat(50);
                 let call = client.post(url).body(body.clone()).send();
-                let patience = Duration::from_millis(if gives_up { 15 } else { 20_000 });
-                let Ok(Ok(response)) = tokio::time::timeout(patience, call).await else { return 0 };
+                let max_wait = Duration::from_millis(if gives_up { 15 } else { 20_000 });
+                let Ok(Ok(response)) = tokio::time::timeout(max_wait, call).await else { return 0 };
                 if outcome(&response) != "answered" {
                     return 0;
                 }
@@ -154,7 +157,7 @@
         assert!(answered > 50, "only {answered} answers to compare");
     }
 
-    one_key_runs_once_at_two_nodes_at_once => {
+    key_sent_to_two_nodes_at_once_runs_once => {
         let mesh = two_nodes(json!({"repeat": "never"})).await;
         let target = mesh.target(1, "s").await;
         target.delay_ms.store(100, Ordering::SeqCst);
@@ -171,16 +174,16 @@
         }
         outcomes.sort();
         assert_eq!(outcomes, ["answered", "recorded", "recorded"]);
-        let again = send(1, "debit").await.unwrap();
-        assert_eq!(outcome(&again), "recorded");
+        let repeat = send(1, "debit").await.unwrap();
+        assert_eq!(outcome(&repeat), "recorded");
         let other = send(1, "another debit").await.unwrap();
         assert_eq!((other.status().as_u16(), outcome(&other)), (422, "not-run"));
         assert_eq!(target.hits(), 1);
     }
 
-    key_of_a_gone_process_is_unknown_not_run_elsewhere => {
+    key_of_a_stopped_node_is_unknown_and_not_run_elsewhere => {
         let mut mesh = two_nodes(json!({"repeat": "never"})).await;
-        let gone = mesh.target(1, "s").await;
+        let stopped = mesh.target(1, "s").await;
         let key = mesh.key(0, "s").await;
         let send = || client().post(mesh.url(0, "/s")).header("idempotency-key", &key).body("debit").send();
         assert_eq!(outcome(&send().await.unwrap()), "answered");
@@ -188,22 +191,22 @@
         let other = mesh.target(0, "s").await;
         let send = || client().post(mesh.url(0, "/s")).header("idempotency-key", &key).body("debit").send();
         assert_eq!(outcome(&send().await.unwrap()), "unknown");
-        assert_eq!((gone.hits(), other.hits()), (1, 0));
-        // A new key is for a new request, and goes to whoever is there.
+        assert_eq!((stopped.hits(), other.hits()), (1, 0));
+        // A new key makes a new request, which goes to the remaining target.
         let key = mesh.key(0, "s").await;
         let fresh = client().post(mesh.url(0, "/s")).header("idempotency-key", key).body("debit").send();
         assert_eq!(outcome(&fresh.await.unwrap()), "answered");
     }
 
-    lost_answer_to_a_keyed_request_is_recorded => {
+    answer_that_a_caller_missed_is_returned_as_recorded => {
         let mesh = two_nodes(json!({"repeat": "never"})).await;
         let target = mesh.target(1, "s").await;
         target.delay_ms.store(300, Ordering::SeqCst);
         let key = mesh.key(0, "s").await;
         let send = |i: usize| client().post(mesh.url(i, "/s")).header("idempotency-key", &key).body("debit").send();
-        // The caller goes away while the request runs, and asks elsewhere.
+        // The caller disconnects while the request runs, and repeats it at the other node.
         assert!(tokio::time::timeout(Duration::from_millis(100), send(0)).await.is_err());
-        let response = until("the record", || async {
+        let response = until("the recorded answer is returned", || async {
             let response = send(1).await.ok()?;
             (outcome(&response) == "recorded").then_some(response)
         })
@@ -212,29 +215,29 @@
         assert_eq!(target.hits(), 1);
     }
 
-    key_not_issued_here_is_refused => {
+    key_that_was_not_issued_is_refused => {
         let mesh = two_nodes(json!({"repeat": "never"})).await;
         let target = mesh.target(1, "s").await;
         let forged = format!("n1.{}.{:032x}", mesh.daemons[1].node.incarnation(), 5);
-        for (key, status, said) in [("a-key-of-mine", 400, "not-run"), (forged.as_str(), 410, "unknown")] {
+        for (key, status, expected) in [("a-key-of-mine", 400, "not-run"), (forged.as_str(), 410, "unknown")] {
             let sent = client().post(mesh.url(0, "/s")).header("idempotency-key", key).body("debit").send();
             let response = sent.await.unwrap();
-            assert_eq!((response.status().as_u16(), outcome(&response)), (status, said));
+            assert_eq!((response.status().as_u16(), outcome(&response)), (status, expected));
         }
         assert_eq!(target.hits(), 0);
     }
 
-    drain_sends_new_and_queued_work_elsewhere => {
+    drain_sends_new_and_queued_requests_elsewhere => {
         let mesh = two_nodes(json!({"slots": 1, "queue": 8})).await;
         let leaving = mesh.target(0, "s").await;
         let staying = mesh.target(1, "s").await;
         leaving.delay_ms.store(400, Ordering::SeqCst);
         let calls = (0..3).map(|i| client().post(mesh.url(0, "/s")).body(format!("{i}")).send());
         let calls = tokio::spawn(join_all(calls));
-        until("one runs there", || async { (leaving.hits() == 1).then_some(()) }).await;
+        until("one request runs at the draining target", || async { (leaving.hits() == 1).then_some(()) }).await;
         let at = mesh.daemons[0].listen.operators;
-        let left: Vec<Value> = mesh::post(at, "drain", &json!({"service": "s"})).await.unwrap();
-        assert_eq!(left[0]["draining"], true);
+        let drained: Vec<Value> = mesh::post(at, "drain", &json!({"service": "s"})).await.unwrap();
+        assert_eq!(drained[0]["draining"], true);
         let hits = leaving.hits();
         for response in calls.await.unwrap() {
             assert_eq!(outcome(&response.unwrap()), "answered");
@@ -243,12 +246,12 @@
             let response = client().post(mesh.url(1, "/s")).body("new").send().await.unwrap();
             assert_eq!(response.headers()["x-target"], "t1");
         }
-        // What waited at the drain was refused there, not run, and went on.
+        // Requests queued at the drain were refused without running, and sent elsewhere.
         assert_eq!(leaving.hits(), hits);
         assert!(staying.hits() >= 5);
     }
 
-    deadline_passes_through_and_is_told_as_unknown => {
+    missed_deadline_is_reported_as_unknown => {
         let mesh = two_nodes(json!({"repeat": "never"})).await;
         let target = mesh.target(1, "s").await;
         target.delay_ms.store(5_000, Ordering::SeqCst);
@@ -270,12 +273,12 @@
         assert_eq!((slow.hits(), quick.hits()), (1, 1));
     }
 
-    failing_target_is_ejected_but_never_the_last_one => {
+    failing_target_is_ejected_unless_it_is_the_last_one => {
         let mesh = two_nodes(json!({})).await;
         let failing = mesh.target(0, "s").await;
         failing.status.store(500, Ordering::SeqCst);
         for _ in 0..8 {
-            // The target's own fault is its answer, and passed on as such.
+            // An error status of the target is its answer, which is forwarded.
             let response = client().get(mesh.url(0, "/s")).send().await.unwrap();
             assert_eq!((response.status().as_u16(), outcome(&response)), (500, "answered"));
         }
@@ -288,7 +291,7 @@
         assert_eq!((failing.hits(), healthy.hits()), (8, 8));
     }
 
-    stale_sender_is_refused_by_the_stricter_view => {
+    receiver_refuses_a_sender_that_its_newer_view_forbids => {
         let mesh = two_nodes(json!({})).await;
         let target = mesh.target(1, "s").await;
         let boundary = json!({"kind": "boundary", "name": "stay", "services": {"all": true},
@@ -333,12 +336,13 @@
         assert_eq!(outcome(&client().get(mesh.url(0, "/s")).send().await.unwrap()), "answered");
     }
 
-    target_cannot_speak_for_the_system => {
+    target_cannot_set_outcome_headers => {
         let mesh = two_nodes(json!({})).await;
-        let lie = b"HTTP/1.1 503 Full\r\nrilltrack-outcome: not-run\r\nrilltrack-reason: full\r\ncontent-length: 2\r\n\r\nok".to_vec();
-        let (address, hits) = raw::target(move |_| Some(lie.clone())).await;
+        let forged = b"HTTP/1.1 503 Full\r\nrilltrack-outcome: not-run\r\nrilltrack-reason: full\r\ncontent-length: 2\r\n\r\nok".to_vec();
+        let (address, hits) = raw::target(move |_| Some(forged.clone())).await;
         mesh.announce(1, "s", address).await;
-        // Nor can a caller: it asks for a keyed run without any key.
+        // A caller can't set internal headers either: this one claims a keyed request
+        // without a key.
         let sent = client().post(mesh.url(0, "/s")).header("rilltrack-keyed", "1").body("debit").send();
         let response = sent.await.unwrap();
         assert_eq!((response.status().as_u16(), outcome(&response)), (503, "answered"));
@@ -346,27 +350,27 @@
         assert_eq!(hits.load(Ordering::SeqCst), 1);
     }
 
-    upload_broken_off_is_never_whole_at_the_target => {
+    interrupted_upload_is_never_complete_at_the_target => {
         let mesh = two_nodes(json!({"max_body": "1MiB"})).await;
         let target = mesh.target(1, "s").await;
         let head = "POST /s/digest HTTP/1.1\r\nhost: h\r\ntransfer-encoding: chunked\r\n\r\n";
         let part = "186A0\r\n".to_owned() + &"x".repeat(100_000) + "\r\n";
         raw::exchange(mesh.daemons[0].listen.callers, (head.to_owned() + &part).as_bytes()).await;
-        until("the target sees it end", || async { (target.ended_bodies() == 1).then_some(()) }).await;
+        until("the upload ends at the target", || async { (target.ended_bodies() == 1).then_some(()) }).await;
         assert_eq!(target.complete_bodies.load(Ordering::SeqCst), 0);
-        // Chunked and too large is found out under way.
+        // The size of a chunked body shows only while it is sent.
         let body = futures_util::stream::iter((0..40).map(|_| Ok::<_, std::io::Error>(vec![0u8; 65_536])));
         let sent = client().post(mesh.url(0, "/s/digest")).body(reqwest::Body::wrap_stream(body)).send();
-        // The answer may come, or get lost as the connection breaks under the
-        // caller's writing; it is never the target's.
+        // The caller may get the answer, or lose it when the connection breaks while it
+        // writes. The answer is never the target's.
         if let Ok(response) = sent.await {
             assert_ne!(outcome(&response), "answered");
         }
-        until("the target sees it end", || async { (target.ended_bodies() == 2).then_some(()) }).await;
+        until("the upload ends at the target", || async { (target.ended_bodies() == 2).then_some(()) }).await;
         assert_eq!(target.complete_bodies.load(Ordering::SeqCst), 0);
     }
 
-    sigterm_cuts_off_neither_upload_nor_download => {
+    sigterm_interrupts_neither_upload_nor_download => {
         let program = Path::new(env!("CARGO_BIN_EXE_rilltrackd"));
         let log = Log::start();
         let mut nodes = processes(program, &log, &[("a1", "palermo"), ("b1", "catania")]).await;
@@ -378,15 +382,15 @@
         let target = Target::start("t", "s");
         let listens = [&nodes[0].listen, &nodes[1].listen];
         attach(&target, listens[1], &listens).await;
-        // The body goes up and comes down while both nodes are told to end.
-        let (feed, body) = tokio::sync::mpsc::channel::<Result<Vec<u8>, std::io::Error>>(1);
+        // The body is uploaded and echoed while both nodes shut down.
+        let (sender, body) = tokio::sync::mpsc::channel::<Result<Vec<u8>, std::io::Error>>(1);
         let body = futures_util::stream::unfold(body, |mut body| async { Some((body.recv().await?, body)) });
         let url = format!("http://{}/s/echo", nodes[0].listen.callers);
-        feed.send(Ok(vec![0; 1000])).await.unwrap();
+        sender.send(Ok(vec![0; 1000])).await.unwrap();
         let call = tokio::spawn(client().put(url).body(reqwest::Body::wrap_stream(body)).send());
-        until("the request is at the target", || async { (target.hits() == 1).then_some(()) }).await;
+        until("the request reaches the target", || async { (target.hits() == 1).then_some(()) }).await;
         nodes.iter().for_each(|node| node.signal(libc::SIGTERM));
-        let refused = until("new work is refused", || async {
+        let refused = until("new requests are refused", || async {
             let sent = client().get(format!("http://{}/s", nodes[0].listen.callers)).send().await;
             match sent {
                 Ok(response) => (outcome(&response) == "not-run").then_some(()),
@@ -395,10 +399,10 @@
         });
         refused.await;
         for i in 1..50u8 {
-            feed.send(Ok(vec![i; 1000])).await.unwrap();
+            sender.send(Ok(vec![i; 1000])).await.unwrap();
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        drop(feed);
+        drop(sender);
         let answer = call.await.unwrap().unwrap().bytes().await.unwrap();
         assert_eq!(answer.len(), 50_000);
         for node in &mut nodes {
@@ -411,20 +415,20 @@
         let slow = mesh.target(0, "s").await;
         mesh.target(1, "s").await;
         let h2 = rilltrack::transport::http::client().http2_prior_knowledge().build().unwrap();
-        let pieces: Vec<Vec<u8>> = (0..50u8).map(|i| vec![i; 10_000]).collect();
-        let whole = pieces.concat();
-        let body = futures_util::stream::iter(pieces.into_iter().map(Ok::<_, std::io::Error>));
+        let chunks: Vec<Vec<u8>> = (0..50u8).map(|i| vec![i; 10_000]).collect();
+        let expected = chunks.concat();
+        let body = futures_util::stream::iter(chunks.into_iter().map(Ok::<_, std::io::Error>));
         let sent = h2.post(mesh.url(0, "/s/echo")).body(reqwest::Body::wrap_stream(body)).send().await;
         let response = sent.unwrap();
         assert_eq!((response.version(), outcome(&response)), (reqwest::Version::HTTP_2, "answered"));
-        assert_eq!(response.bytes().await.unwrap(), whole);
-        // Without a body it is as good to repeat as over HTTP/1.1.
+        assert_eq!(response.bytes().await.unwrap(), expected);
+        // A request without a body is hedged as over HTTP/1.1.
         slow.delay_ms.store(3_000, Ordering::SeqCst);
         let response = h2.get(mesh.url(0, "/s")).send().await.unwrap();
         assert_eq!(response.headers()["x-target"], "t1");
     }
 
-    http2_target_is_spoken_to_in_http2 => {
+    http2_target_gets_requests_over_http2 => {
         let mesh = two_nodes(json!({})).await;
         let mut target = Target::start("t", "s");
         target.http2 = true;
@@ -436,24 +440,25 @@
         assert_eq!(response.bytes().await.unwrap(), body);
     }
 
-    slow_sender_of_headers_is_cut_off => {
+    connection_with_slow_headers_is_closed => {
         let mesh = two_nodes(json!({})).await;
         let callers = mesh.daemons[0].listen.callers;
         let mut stream = tokio::net::TcpStream::connect(callers).await.unwrap();
         stream.write_all(b"GET /s HTTP/1.1\r\nhost: h\r\n").await.unwrap();
         let mut answer = Vec::new();
-        // The test's settings allow a second; without a bound this never ends.
+        // The settings of the test allow 1 s for headers. Without that limit the connection
+        // would stay open.
         let ended = tokio::time::timeout(Duration::from_secs(30), stream.read_to_end(&mut answer)).await;
-        assert!(ended.is_ok(), "the connection is held open for a sender that never ends");
+        assert!(ended.is_ok(), "the connection stays open although the headers never end");
     }
 
-    large_bodies_pass_whole => {
+    large_bodies_pass_unchanged => {
         let mesh = two_nodes(json!({"max_body": "1GiB", "timeout": "30s"})).await;
         mesh.target(1, "s").await;
         let mut hasher = blake3::Hasher::new();
-        let pieces: Vec<Vec<u8>> = (0..512u32).map(|i| vec![i as u8; 65_536]).collect();
-        pieces.iter().for_each(|piece| { hasher.update(piece); });
-        let body = futures_util::stream::iter(pieces.into_iter().map(Ok::<_, std::io::Error>));
+        let chunks: Vec<Vec<u8>> = (0..512u32).map(|i| vec![i as u8; 65_536]).collect();
+        chunks.iter().for_each(|chunk| { hasher.update(chunk); });
+        let body = futures_util::stream::iter(chunks.into_iter().map(Ok::<_, std::io::Error>));
         let body = reqwest::Body::wrap_stream(body);
         let response = client().post(mesh.url(0, "/s/digest")).body(body).send().await.unwrap();
         assert_eq!(response.text().await.unwrap(), hasher.finalize().to_hex().to_string());
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,11 +1,11 @@
-//! Scripted failures over real processes; see `support::scenario` for the
-//! language and tests/scenarios/ for the scripts.
+//! Failure scenarios over real processes: the scripts are in tests/scenarios/, their
+//! language is described in `support::scenario`.
 
 mod support;
 
 use std::path::Path;
 
-/// Names a test after each script.
+/// Defines a test for each script, with the name of the script.
 macro_rules! scenarios {
     ($($name:ident)*) => {
         $(
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -1,4 +1,5 @@
-//! The whole path over separate processes: publish, follow, announce, route.
+//! From publishing a version and announcing a target to routed requests, over
+//! separate processes.
 
 mod support;
 
@@ -54,7 +55,7 @@
     assert_eq!(target.hits(), 3);
 
     let first = &mesh[0];
-    support::until("the decision is logged", || async {
+    support::until("the routing decision is logged", || async {
         first
             .log_text()
             .lines()
@@ -65,7 +66,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn large_replies_take_turns() {
+async fn large_replies_are_limited() {
     let domains: Vec<String> = (0..500).map(|i| format!("domain-number-{i}")).collect();
     let domains: Vec<&str> = domains.iter().map(String::as_str).collect();
     let mesh = Mesh::start(&["palermo"], &resources(&domains, "s", json!({}))).await;
@@ -87,20 +88,20 @@
         wire::decode::<Reply>(&response.bytes().await.unwrap()).unwrap()
     };
     assert!(matches!(fetch().await, Reply::Records(_)));
-    let all = daemon.node.large_replies.available_permits() as u32;
-    let held = daemon
+    let permits = daemon.node.large_replies.available_permits() as u32;
+    let acquired = daemon
         .node
         .large_replies
         .clone()
-        .acquire_many_owned(all)
+        .acquire_many_owned(permits)
         .await
         .unwrap();
     assert!(matches!(fetch().await, Reply::Later(_)));
-    drop(held);
+    drop(acquired);
     assert!(matches!(fetch().await, Reply::Records(_)));
-    // Leave comes back once the reply is sent.
-    support::until("leave comes back", || async {
-        (daemon.node.large_replies.available_permits() as u32 == all).then_some(())
+    // The permit of a reply is returned once the reply is sent.
+    support::until("all permits are returned", || async {
+        (daemon.node.large_replies.available_permits() as u32 == permits).then_some(())
     })
     .await;
 }
