--- a/examples/quickstart.rs
+++ b/examples/quickstart.rs
@@ -1,5 +1,5 @@
-//! The main job with no set-up: a stand-in log, daemons of three failure
-//! domains and targets, on loopback in one process.
+//! A first mesh without any setup: a stand-in for the platform's log, daemons of
+//! three failure domains and their targets, on loopback in one process.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -20,6 +20,7 @@
 };
 
 const DOMAINS: [&str; 3] = ["palermo", "catania", "messina"];
+/// Number of requests sent to each daemon.
 const CALLS: usize = 30;
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
@@ -38,19 +39,20 @@
         let node = format!("{domain}-1").parse()?;
         let settings = Settings::builder(node, domain.parse()?, log.url())
             .seeds(seeds)
-            .membership(quick())
+            .membership(fast_membership())
             .build()?;
         daemons.push(Daemon::start(settings)?);
     }
     let runtime = tokio::runtime::Runtime::new()?;
-    runtime.block_on(tour(&daemons))?;
+    runtime.block_on(run_tour(&daemons))?;
     daemons.into_iter().for_each(Daemon::stop);
     println!("7. All daemons left in good order.");
     Ok(())
 }
 
-/// Nodes of a trial find each other sooner than those of a large mesh need to.
-fn quick() -> Membership {
+/// Returns membership settings with short intervals, with which the nodes of a
+/// small mesh find each other quickly.
+fn fast_membership() -> Membership {
     Membership {
         period: Span::from_millis(200),
         timeout: Span::from_millis(150),
@@ -60,7 +62,8 @@
     }
 }
 
-async fn tour(daemons: &[Daemon]) -> Result<(), Box<dyn std::error::Error>> {
+/// Publishes a configuration, starts targets, sends requests and changes a label.
+async fn run_tour(daemons: &[Daemon]) -> Result<(), Box<dyn std::error::Error>> {
     for daemon in daemons {
         ready(&daemon.listen).await;
         knows(&daemon.listen, daemons.len()).await;
@@ -72,7 +75,7 @@
 
     let at = daemons[0].listen.operators;
     let version = publish(at, "quickstart", mesh_ops()).await;
-    everywhere(daemons, version).await;
+    wait_for_version(daemons, version).await;
     println!("3. Version {version} is in force everywhere: balance lookups may go to all domains.");
 
     let all: Vec<_> = daemons.iter().map(|daemon| &daemon.listen).collect();
@@ -83,7 +86,7 @@
     println!("4. A target in each domain announced itself to the node on its host.");
     println!(
         "5. {CALLS} requests at each daemon went to: {}",
-        calls(daemons).await?
+        send_calls(daemons).await?
     );
 
     let key = "domain/messina".parse()?;
@@ -98,12 +101,14 @@
         }],
     )
     .await;
-    everywhere(daemons, version).await;
+    wait_for_version(daemons, version).await;
     println!("6. The label of one failure domain changed (version {version}): requests go to");
-    println!("   {}", calls(daemons).await?);
+    println!("   {}", send_calls(daemons).await?);
     Ok(())
 }
 
+/// Returns operations for a service whose requests may go only to failure domains
+/// labelled with its jurisdiction.
 fn mesh_ops() -> Vec<Op> {
     let domain =
         |name: &str| json!({"kind": "domain", "name": name, "labels": {"jurisdiction": "sicily"}});
@@ -120,28 +125,32 @@
     ops(&resources)
 }
 
-async fn everywhere(daemons: &[Daemon], version: Version) {
+/// Waits until `version` is in force at all daemons.
+async fn wait_for_version(daemons: &[Daemon], version: Version) {
     for daemon in daemons {
         reached(&daemon.listen, version).await;
     }
 }
 
-/// Sends requests to every daemon; returns where they were served.
-async fn calls(daemons: &[Daemon]) -> Result<String, reqwest::Error> {
+/// Sends `CALLS` requests to every daemon; returns the number of requests that each
+/// target answered, as text.
+async fn send_calls(daemons: &[Daemon]) -> Result<String, reqwest::Error> {
     let client = support::client();
-    let mut served: BTreeMap<String, usize> = BTreeMap::new();
+    let mut answered: BTreeMap<String, usize> = BTreeMap::new();
     for daemon in daemons {
         for _ in 0..CALLS {
             let url = format!("http://{}/balance/card/7", daemon.listen.callers);
             let response = client.get(url).send().await?;
-            let by = response
+            let target = response
                 .headers()
                 .get("x-target")
                 .and_then(|name| name.to_str().ok());
-            *served.entry(by.unwrap_or("nobody").to_owned()).or_default() += 1;
+            *answered
+                .entry(target.unwrap_or("nobody").to_owned())
+                .or_default() += 1;
         }
     }
-    let counts: Vec<String> = served
+    let counts: Vec<String> = answered
         .iter()
         .map(|(name, count)| format!("{name} {count}"))
         .collect();
