--- a/examples/log.rs
+++ b/examples/log.rs
@@ -1,8 +1,8 @@
-//! A stand-in for the platform's log, in memory, to try daemons with:
+//! A stand-in for the platform's log, in memory, for daemons under trial:
 //!
 //!     cargo run --release --example log -- 127.0.0.1:9000
 //!
-//! Runs for an hour. What it holds is gone with it.
+//! It runs for an hour. Its records are lost when it ends.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -14,7 +14,7 @@
 /// Runs a stand-in for the platform's log.
 #[derive(FromArgs)]
 struct Args {
-    /// where it listens
+    /// address to listen on
     #[argh(positional)]
     address: SocketAddr,
 }
