--- a/examples/fleet.rs
+++ b/examples/fleet.rs
@@ -1,7 +1,7 @@
 //! Measures a fleet of real daemons on loopback: convergence, control bytes,
-//! processor time and memory, against a naive fleet in the same run.
+//! processor time and memory, compared with a naive fleet in the same run.
 //!
-//! Build the daemon first, then give the sizes:
+//! Build the daemon first, then pass the fleet sizes:
 //!
 //!     cargo build --release
 //!     cargo run --release --example fleet -- 8 32 96 200
@@ -41,19 +41,19 @@
 /// Measures fleets of daemons.
 #[derive(FromArgs)]
 struct Args {
-    /// numbers of daemons
+    /// fleet sizes: numbers of daemons
     #[argh(positional)]
     sizes: Vec<usize>,
-    /// failure domains
+    /// number of failure domains
     #[argh(option, default = "4")]
     domains: usize,
-    /// changes published in each part
+    /// number of changes published in each part
     #[argh(option, default = "30")]
     changes: usize,
-    /// seconds of idling measured
+    /// seconds for which the idle fleet is measured
     #[argh(option, default = "10")]
     idle: u64,
-    /// seconds that news of the start may go round before idling is measured
+    /// seconds for which membership updates may spread before the idle fleet is measured
     #[argh(option, default = "30")]
     settle: u64,
     /// file for the results, one JSON line for each size
@@ -61,9 +61,9 @@
     out: Option<PathBuf>,
 }
 
-/// What was measured at one size.
+/// Measurements of a fleet of one size.
 #[derive(Debug, Serialize)]
-struct Row {
+struct Measurement {
     nodes: usize,
     domains: usize,
     ready_ms: u64,
@@ -91,7 +91,7 @@
     max: u64,
 }
 
-/// Bytes of traffic on loopback so far.
+/// Returns the bytes sent on loopback so far.
 fn loopback_bytes() -> u64 {
     let text = std::fs::read_to_string("/sys/class/net/lo/statistics/tx_bytes");
     text.ok()
@@ -99,6 +99,7 @@
         .unwrap_or(0)
 }
 
+/// Returns the Unix time in milliseconds.
 fn unix_ms() -> u64 {
     SystemTime::UNIX_EPOCH
         .elapsed()
@@ -106,6 +107,7 @@
         .as_millis() as u64
 }
 
+/// Running daemons and their log.
 struct Fleet {
     program: PathBuf,
     log: Log,
@@ -115,21 +117,25 @@
 }
 
 impl Fleet {
+    /// Returns the failure domain of daemon `i`.
     fn domain(&self, i: usize) -> String {
         format!("domain-{}", i % self.domains)
     }
 
+    /// Returns the settings of daemon `i`: the defaults for membership and requests,
+    /// except for a single thread, and a wait of 15 s at the log.
     fn settings(&self, i: usize) -> Value {
         let domain = self.domain(i);
         let mut settings =
             mesh::settings(&format!("node-{i}"), &domain, &self.log.url(), &self.seeds);
-        let defaults = json!({"threads": 1});
+        let requests = json!({"threads": 1});
         settings["membership"] = json!({});
-        settings["requests"] = defaults;
+        settings["requests"] = requests;
         settings["log"]["wait"] = json!("15s");
         settings
     }
 
+    /// Starts daemon `i`; the first three are the seeds of later ones.
     fn start_one(&mut self, i: usize) {
         let process = Process::start(&self.program, &self.settings(i));
         if self.seeds.len() < 3 {
@@ -138,26 +144,30 @@
         self.processes.push(process);
     }
 
-    async fn all_ready(&self) {
+    /// Waits until all daemons hold a complete view.
+    async fn wait_until_ready(&self) {
         for process in &self.processes {
             ready(&process.listen).await;
         }
     }
 
-    async fn all_known(&self) {
+    /// Waits until all daemons know each other.
+    async fn wait_for_members(&self) {
         for process in &self.processes {
             mesh::knows(&process.listen, self.processes.len()).await;
         }
     }
 
-    fn cpu(&self) -> f64 {
+    /// Returns the processor time of all daemons so far, in seconds.
+    fn cpu_seconds(&self) -> f64 {
         self.processes
             .iter()
             .map(|process| support::cpu_seconds(process.id()))
             .sum()
     }
 
-    fn rss(&self) -> f64 {
+    /// Returns the mean resident memory of a daemon, in MB.
+    fn mean_rss_mb(&self) -> f64 {
         let total: f64 = self
             .processes
             .iter()
@@ -166,6 +176,7 @@
         total / self.processes.len() as f64 / 1e6
     }
 
+    /// Returns the control bytes that all daemons have counted in their metrics.
     async fn frame_bytes(&self) -> f64 {
         let mut total = 0.0;
         for process in &self.processes {
@@ -184,7 +195,8 @@
         total
     }
 
-    /// Publishes one change; returns its version and when the log took it.
+    /// Publishes one change through daemon `through`; returns its version and the Unix
+    /// time of the publish in milliseconds.
     async fn publish(&self, serial: usize, through: usize) -> (Version, u64) {
         let at = self.processes[through].listen.operators;
         let label = Op::Label {
@@ -193,12 +205,12 @@
             remove: Vec::new(),
         };
         let id = format!("change-{}-{serial}", unix_ms());
-        let accepted = unix_ms();
+        let published_at = unix_ms();
         let version = mesh::publish(at, &id, vec![label]).await;
-        (version, accepted)
+        (version, published_at)
     }
 
-    /// Returns when each process put each version in force, from its log.
+    /// Returns for each daemon when it put each version in force, by its log file.
     fn in_force(&self) -> Vec<HashMap<Version, u64>> {
         self.processes
             .iter()
@@ -207,9 +219,10 @@
     }
 }
 
-fn versions(lines: &str) -> HashMap<Version, u64> {
-    let mut found = HashMap::new();
-    for line in lines.lines().filter(|line| line.contains(" E200 ")) {
+/// Returns the Unix time in milliseconds at which each version came into force.
+fn versions(log_text: &str) -> HashMap<Version, u64> {
+    let mut versions = HashMap::new();
+    for line in log_text.lines().filter(|line| line.contains(" E200 ")) {
         let mut words = line.split_whitespace().skip(2);
         let at = words.next().and_then(|word| word.parse().ok());
         let version = line
@@ -217,20 +230,21 @@
             .next()
             .and_then(|word| word.trim().parse().ok());
         if let (Some(at), Some(version)) = (at, version) {
-            found.entry(version).or_insert(at);
+            versions.entry(version).or_insert(at);
         }
     }
-    found
+    versions
 }
 
-/// Returns the quantiles of the time from each publish until the last process
-/// had it in force, and how many (process, version) pairs never had.
+/// Returns the quantiles, over all daemons and versions, of the time from a publish
+/// until the version or a newer one is in force, in milliseconds, and the number of
+/// (daemon, version) pairs for which that never happened.
 fn convergence(published: &[(Version, u64)], logs: &[HashMap<Version, u64>]) -> (Quantiles, usize) {
     let mut histogram = Histogram::<u64>::new(3).expect("three digits are allowed");
     let mut misses = 0;
-    for (version, accepted) in published {
+    for (version, published_at) in published {
         for log in logs {
-            // A snapshot or several records at once leap over versions.
+            // A snapshot, or several records at once, skips versions.
             let at = log
                 .iter()
                 .filter(|(v, _)| *v >= version)
@@ -238,7 +252,7 @@
                 .min();
             match at {
                 Some(at) => histogram
-                    .record(at.saturating_sub(*accepted))
+                    .record(at.saturating_sub(*published_at))
                     .expect("in range"),
                 None => misses += 1,
             }
@@ -255,8 +269,10 @@
     }
 }
 
-/// The naive fleet: every node polls the log and fetches everything.
-async fn naive(nodes: usize, changes: usize, log: &Log) -> (Quantiles, f64, f64) {
+/// Measures a naive fleet, where every node polls the log each second and fetches
+/// all records. Returns the convergence times, the bytes per node and change, and the
+/// reads of the log per second.
+async fn measure_naive(nodes: usize, changes: usize, log: &Log) -> (Quantiles, f64, f64) {
     let stop = Arc::new(AtomicBool::new(false));
     let seen: Arc<Vec<AtomicU64>> = Arc::new((0..nodes).map(|_| AtomicU64::new(0)).collect());
     let times = Arc::new(parking_lot::Mutex::new(Vec::new()));
@@ -282,19 +298,19 @@
     }
     tokio::time::sleep(Duration::from_secs(2)).await;
     let (reads, _) = log.calls();
-    let (bytes, since) = (loopback_bytes(), Instant::now());
+    let (bytes, start) = (loopback_bytes(), Instant::now());
     let mut published = Vec::new();
     for i in 0..changes {
         let record = log.records("config").last().cloned().unwrap_or_default();
-        let accepted = unix_ms();
+        let published_at = unix_ms();
         let offset = log.append("config", record);
-        published.push((offset + 1, accepted));
+        published.push((offset + 1, published_at));
         tokio::time::sleep(Duration::from_millis(300)).await;
         if i + 1 == changes {
             tokio::time::sleep(Duration::from_millis(1500)).await;
         }
     }
-    let seconds = since.elapsed().as_secs_f64();
+    let seconds = start.elapsed().as_secs_f64();
     let bytes = (loopback_bytes() - bytes) as f64;
     let reads = (log.calls().0 - reads) as f64 / seconds;
     stop.store(true, Ordering::Relaxed);
@@ -303,14 +319,14 @@
     }
     let mut histogram = Histogram::<u64>::new(3).expect("three digits are allowed");
     let times = times.lock().clone();
-    for (next, accepted) in &published {
+    for (next, published_at) in &published {
         for (_, at) in times
             .iter()
-            .filter(|(seen, at)| seen >= next && *at <= accepted + 2500)
+            .filter(|(seen, at)| seen >= next && *at <= published_at + 2500)
             .take(nodes)
         {
             histogram
-                .record(at.saturating_sub(*accepted))
+                .record(at.saturating_sub(*published_at))
                 .expect("in range");
         }
     }
@@ -321,7 +337,8 @@
     )
 }
 
-async fn measure(args: &Args, nodes: usize, program: PathBuf) -> Row {
+/// Starts a fleet of `nodes` daemons and runs all measurements.
+async fn measure(args: &Args, nodes: usize, program: PathBuf) -> Measurement {
     let log = Log::start();
     let mut fleet = Fleet {
         program,
@@ -330,11 +347,11 @@
         processes: Vec::new(),
         seeds: Vec::new(),
     };
-    let since = Instant::now();
+    let start = Instant::now();
     (0..nodes).for_each(|i| fleet.start_one(i));
-    fleet.all_ready().await;
-    fleet.all_known().await;
-    let ready_ms = since.elapsed().as_millis() as u64;
+    fleet.wait_until_ready().await;
+    fleet.wait_for_members().await;
+    let ready_ms = start.elapsed().as_millis() as u64;
 
     let names: Vec<String> = (0..fleet.domains).map(|i| format!("domain-{i}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
@@ -348,42 +365,44 @@
     for process in &fleet.processes {
         mesh::reached(&process.listen, version).await;
     }
-    // News of the start still goes round for a while.
+    // Membership updates of the start still spread for a while.
     tokio::time::sleep(Duration::from_secs(args.settle)).await;
 
     let (bytes, frames, cpu, (reads, _)) = (
         loopback_bytes(),
         fleet.frame_bytes().await,
-        fleet.cpu(),
+        fleet.cpu_seconds(),
         fleet.log.calls(),
     );
     let bytes = loopback_bytes().max(bytes);
-    let since = Instant::now();
+    let start = Instant::now();
     tokio::time::sleep(Duration::from_secs(args.idle)).await;
-    let seconds = since.elapsed().as_secs_f64();
+    let seconds = start.elapsed().as_secs_f64();
     let idle_bytes = (loopback_bytes() - bytes) as f64 / seconds;
-    let idle_cpu = (fleet.cpu() - cpu) / seconds;
+    let idle_cpu = (fleet.cpu_seconds() - cpu) / seconds;
     let idle_reads = (fleet.log.calls().0 - reads) as f64 / seconds;
     let idle_frames = (fleet.frame_bytes().await - frames) / seconds;
-    let rss_mb = fleet.rss();
+    let rss_mb = fleet.mean_rss_mb();
 
-    let (bytes, since) = (loopback_bytes(), Instant::now());
+    let (bytes, start) = (loopback_bytes(), Instant::now());
     let mut published = Vec::new();
     for serial in 0..args.changes {
         published.push(fleet.publish(serial, serial % nodes).await);
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
     tokio::time::sleep(Duration::from_secs(2)).await;
-    let spent = (loopback_bytes() - bytes) as f64 - idle_bytes * since.elapsed().as_secs_f64();
-    let change_bytes = spent / nodes as f64 / args.changes as f64;
-    let (quiet, misses) = convergence(&published, &fleet.in_force());
+    let excess_bytes =
+        (loopback_bytes() - bytes) as f64 - idle_bytes * start.elapsed().as_secs_f64();
+    let change_bytes = excess_bytes / nodes as f64 / args.changes as f64;
+    let (undisturbed, misses) = convergence(&published, &fleet.in_force());
 
     let (killed, more_misses) = kill_reader(&mut fleet, args.changes / 2).await;
-    let herd = herd(&mut fleet).await;
+    let restarted = restart_domain(&mut fleet).await;
     let processes = std::mem::take(&mut fleet.processes);
     drop(processes);
-    let (naive_times, naive_bytes, naive_reads) = naive(nodes, args.changes, &fleet.log).await;
-    Row {
+    let (naive_times, naive_bytes, naive_reads) =
+        measure_naive(nodes, args.changes, &fleet.log).await;
+    Measurement {
         nodes,
         domains: fleet.domains,
         ready_ms,
@@ -392,12 +411,12 @@
         idle_cpu_percent: 100.0 * idle_cpu / nodes as f64,
         rss_mb,
         log_reads_per_s: idle_reads,
-        convergence_ms: quiet,
+        convergence_ms: undisturbed,
         change_bytes_per_node: change_bytes,
         killed_ms: killed,
-        herd_nodes: herd.0,
-        herd_ready_ms: herd.1,
-        herd_bytes_per_node: herd.2,
+        herd_nodes: restarted.0,
+        herd_ready_ms: restarted.1,
+        herd_bytes_per_node: restarted.2,
         naive_convergence_ms: naive_times,
         naive_change_bytes_per_node: naive_bytes,
         naive_reads_per_s: naive_reads,
@@ -405,7 +424,8 @@
     }
 }
 
-/// Kills the first reader of a failure domain in the midst of changes.
+/// Publishes `changes` and kills the first reader of a failure domain halfway.
+/// Returns the convergence times of the others and the misses.
 async fn kill_reader(fleet: &mut Fleet, changes: usize) -> (Quantiles, usize) {
     let victim = first_reader(fleet);
     let mut published = Vec::new();
@@ -430,6 +450,8 @@
     convergence(&published, &fleet.in_force())
 }
 
+/// Returns the daemon that reads the log first in the failure domain of daemon 1, or
+/// `None` if that daemon is alone there.
 fn first_reader(fleet: &Fleet) -> Option<usize> {
     let domain = fleet.domain(1);
     let members: Vec<usize> = (0..fleet.processes.len())
@@ -462,10 +484,11 @@
     })
 }
 
-/// Kills all of a failure domain and starts it again at once.
-async fn herd(fleet: &mut Fleet) -> (usize, u64, f64) {
+/// Kills all daemons of a failure domain and restarts them at once. Returns their
+/// number, the milliseconds until all are ready, and the bytes sent per daemon.
+async fn restart_domain(fleet: &mut Fleet) -> (usize, u64, f64) {
     let domain = fleet.domain(2 % fleet.domains);
-    let is_of = |process: &Process| {
+    let index_of = |process: &Process| {
         let i: usize = process
             .name
             .trim_start_matches("node-")
@@ -474,23 +497,24 @@
         i
     };
     let domains = fleet.domains;
-    let (gone, kept): (Vec<Process>, Vec<Process>) = fleet
+    let (killed, remaining): (Vec<Process>, Vec<Process>) = fleet
         .processes
         .drain(..)
-        .partition(|p| format!("domain-{}", is_of(p) % domains) == domain);
-    fleet.processes = kept;
-    let again: Vec<usize> = gone.iter().map(is_of).collect();
-    gone.iter()
+        .partition(|p| format!("domain-{}", index_of(p) % domains) == domain);
+    fleet.processes = remaining;
+    let indices: Vec<usize> = killed.iter().map(index_of).collect();
+    killed
+        .iter()
         .for_each(|process| process.signal(libc::SIGKILL));
-    drop(gone);
+    drop(killed);
     fleet.seeds = fleet
         .processes
         .iter()
         .take(3)
         .map(|process| process.listen.peers)
         .collect();
-    let (bytes, since) = (loopback_bytes(), Instant::now());
-    let settings: Vec<Value> = again.iter().map(|i| fleet.settings(*i)).collect();
+    let (bytes, start) = (loopback_bytes(), Instant::now());
+    let settings: Vec<Value> = indices.iter().map(|i| fleet.settings(*i)).collect();
     let started: Vec<Process> = settings
         .iter()
         .map(|s| Process::start(&fleet.program, s))
@@ -498,10 +522,10 @@
     for process in &started {
         ready(&process.listen).await;
     }
-    let took = since.elapsed().as_millis() as u64;
-    let bytes = (loopback_bytes() - bytes) as f64 / again.len().max(1) as f64;
+    let ready_ms = start.elapsed().as_millis() as u64;
+    let bytes = (loopback_bytes() - bytes) as f64 / indices.len().max(1) as f64;
     fleet.processes.extend(started);
-    (again.len(), took, bytes)
+    (indices.len(), ready_ms, bytes)
 }
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
@@ -515,44 +539,44 @@
         "nodes ready_ms idle_B/s frames_B/s cpu% rss_MB reads/s | p50 p99 max ms  B/change | killed p50 p99 max | herd n ms B | naive p50 p99 max B/change reads/s | misses"
     );
     for nodes in &args.sizes {
-        let row = runtime.block_on(measure(&args, *nodes, program.clone()));
+        let result = runtime.block_on(measure(&args, *nodes, program.clone()));
         let (c, k, n) = (
-            &row.convergence_ms,
-            &row.killed_ms,
-            &row.naive_convergence_ms,
+            &result.convergence_ms,
+            &result.killed_ms,
+            &result.naive_convergence_ms,
         );
         println!(
             "{} {} {:.0} {:.0} {:.2} {:.1} {:.2} | {} {} {} {:.0} | {} {} {} | {} {} {:.0} | {} {} {} {:.0} {:.0} | {}",
-            row.nodes,
-            row.ready_ms,
-            row.idle_bytes_per_node_s,
-            row.idle_frame_bytes_per_node_s,
-            row.idle_cpu_percent,
-            row.rss_mb,
-            row.log_reads_per_s,
+            result.nodes,
+            result.ready_ms,
+            result.idle_bytes_per_node_s,
+            result.idle_frame_bytes_per_node_s,
+            result.idle_cpu_percent,
+            result.rss_mb,
+            result.log_reads_per_s,
             c.p50,
             c.p99,
             c.max,
-            row.change_bytes_per_node,
+            result.change_bytes_per_node,
             k.p50,
             k.p99,
             k.max,
-            row.herd_nodes,
-            row.herd_ready_ms,
-            row.herd_bytes_per_node,
+            result.herd_nodes,
+            result.herd_ready_ms,
+            result.herd_bytes_per_node,
             n.p50,
             n.p99,
             n.max,
-            row.naive_change_bytes_per_node,
-            row.naive_reads_per_s,
-            row.misses
+            result.naive_change_bytes_per_node,
+            result.naive_reads_per_s,
+            result.misses
         );
         if let Some(path) = &args.out {
             let mut file = std::fs::File::options()
                 .create(true)
                 .append(true)
                 .open(path)?;
-            writeln!(file, "{}", serde_json::to_string(&row)?)?;
+            writeln!(file, "{}", serde_json::to_string(&result)?)?;
         }
     }
     Ok(())
