--- a/examples/capacity.rs
+++ b/examples/capacity.rs
@@ -1,7 +1,6 @@
-//! Measures, in one process, how a node's work grows with the mesh: applying
-//! changes, projecting views, snapshots, the table of members, ranks and
-//! routing decisions. Fits a line to each and says what it gives at the size
-//! the project is built for.
+//! Measures, in one process, how the work of a node grows with the mesh: changes,
+//! views, snapshots, the member table, ranks and routing decisions. Fits a line to
+//! each and extrapolates it to the size that the project is designed for.
 //!
 //!     cargo run --release --example capacity -- --out docs/data/capacity.json --plots docs/plots
 
@@ -38,10 +37,13 @@
 use serde::Serialize;
 use stats_alloc::{INSTRUMENTED_SYSTEM, StatsAlloc};
 
-/// The size the project is built for.
+/// Number of targets that the project is designed for.
 const TARGETS: usize = 13_000;
+/// Number of services that the project is designed for.
 const SERVICES: usize = 730;
+/// Number of failure domains in all meshes.
 const DOMAINS: usize = 13;
+/// Number of regions that the failure domains are spread over.
 const REGIONS: usize = 6;
 
 /// Measures how a node's work grows with the mesh.
@@ -55,24 +57,25 @@
     plots: Option<PathBuf>,
 }
 
-/// One quantity measured at several sizes, and the line through it.
+/// One quantity measured at several sizes, and the line fitted to it.
 #[derive(Debug, Serialize)]
-struct Slope {
+struct LinearFit {
     what: &'static str,
     unit: &'static str,
     against: &'static str,
     points: Vec<(f64, f64)>,
     intercept: f64,
     slope: f64,
-    /// The largest distance of a point from the line, as a share of the
-    /// largest value.
+    /// The largest deviation of a point from the line, as a share of the largest
+    /// value.
     residual: f64,
-    /// What the line gives at the size the project is built for.
+    /// Value of the line at the size that the project is designed for.
     at_target: f64,
 }
 
-impl Slope {
-    fn fit(
+impl LinearFit {
+    /// Fits a line by least squares and evaluates it at size `target`.
+    fn new(
         what: &'static str,
         unit: &'static str,
         against: &'static str,
@@ -89,7 +92,7 @@
         let slope = cov / var;
         let intercept = my - slope * mx;
         let largest = points.iter().map(|p| p.1).fold(f64::MIN_POSITIVE, f64::max);
-        let off = points
+        let deviation = points
             .iter()
             .map(|p| (p.1 - intercept - slope * p.0).abs())
             .fold(0.0, f64::max);
@@ -101,7 +104,7 @@
             points,
             intercept,
             slope,
-            residual: off / largest,
+            residual: deviation / largest,
             at_target,
         }
     }
@@ -118,6 +121,7 @@
         .collect()
 }
 
+/// Returns a selector of the objects with this label.
 fn select(key: &str, value: String) -> Selector {
     Selector {
         match_labels: labels(&[(key, value)]),
@@ -125,8 +129,8 @@
     }
 }
 
-/// A mesh of `services`, two routes each, one boundary for each of 20 kinds of
-/// data.
+/// Returns the resources of a mesh of `services` with two routes each, and one
+/// boundary for each of 20 kinds of data.
 fn resources(services: usize) -> Vec<Resource> {
     let mut all = Vec::new();
     for i in 0..DOMAINS {
@@ -186,6 +190,7 @@
     all
 }
 
+/// Returns the log record of a change based on the state of `machine`.
 fn record(machine: &Machine, id: String, ops: Vec<Op>) -> bytes::Bytes {
     let change = Change {
         id: id.parse().expect("a valid id"),
@@ -198,6 +203,7 @@
     Entry::Change(change).encode()
 }
 
+/// Returns operations that set a label of a service.
 fn label(service: usize, value: usize) -> Vec<Op> {
     let key = format!("service/s{service}").parse().expect("a valid key");
     let set = BTreeMap::from([("serial".to_owned(), value.to_string())]);
@@ -211,16 +217,18 @@
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// Bytes that are allocated and not freed.
-fn allocated() -> f64 {
+/// Returns the bytes allocated and not freed.
+fn allocated_bytes() -> f64 {
     let stats = ALLOCATOR.stats();
     stats.bytes_allocated as f64 - stats.bytes_deallocated as f64 + stats.bytes_reallocated as f64
 }
 
-fn micros(since: Instant, times: usize) -> f64 {
+/// Returns the mean time of each of `times` runs since `since`, in microseconds.
+fn mean_micros(since: Instant, times: usize) -> f64 {
     since.elapsed().as_secs_f64() * 1e6 / times as f64
 }
 
+/// Measured points (size, value) by the name of the quantity.
 #[derive(Default)]
 struct Series(BTreeMap<&'static str, Vec<(f64, f64)>>);
 
@@ -230,9 +238,9 @@
     }
 }
 
-/// Configuration against the number of services.
-fn configuration(series: &mut Series, services: usize, changes: usize) {
-    let before = allocated();
+/// Measures configuration with this number of services.
+fn measure_configuration(series: &mut Series, services: usize, changes: usize) {
+    let before = allocated_bytes();
     let mut machine = Machine::new();
     let ops = resources(services).into_iter().map(Op::Put).collect();
     let base = record(&machine, "base".into(), ops);
@@ -249,8 +257,12 @@
     };
     let since = Instant::now();
     let mut view = View::new(machine.version(), machine.set().clone(), proxy.clone());
-    series.add("view_whole", services, micros(since, 1));
-    series.add("machine_and_view_memory", services, allocated() - before);
+    series.add("view_whole", services, mean_micros(since, 1));
+    series.add(
+        "machine_and_view_memory",
+        services,
+        allocated_bytes() - before,
+    );
 
     let (mut apply, mut project, mut bytes) = (0.0, 0.0, 0);
     for i in 0..changes {
@@ -260,29 +272,30 @@
         let applied = machine
             .apply(machine.version().offset, record)
             .expect("applies");
-        apply += micros(since, 1);
+        apply += mean_micros(since, 1);
         assert!(applied.verdict.is_accepted());
         let since = Instant::now();
         view = view.next(machine.version(), machine.set().clone(), &applied.touched);
-        project += micros(since, 1);
+        project += mean_micros(since, 1);
     }
     series.add("apply", services, apply / changes as f64);
     series.add("view_next", services, project / changes as f64);
     series.add("record", services, bytes as f64 / changes as f64);
     let since = Instant::now();
     let snapshot = machine.snapshot();
-    series.add("snapshot_make", services, micros(since, 1));
+    series.add("snapshot_make", services, mean_micros(since, 1));
     series.add("snapshot_bytes", services, snapshot.len() as f64);
     let since = Instant::now();
-    black_box(Machine::from_snapshot(&snapshot).expect("whole"));
-    series.add("snapshot_take", services, micros(since, 1));
+    black_box(Machine::from_snapshot(&snapshot).expect("complete"));
+    series.add("snapshot_take", services, mean_micros(since, 1));
     let since = Instant::now();
     for i in 0..1000 {
         black_box(view.route(None, &format!("/s{}/v1/x", i % services), "GET"));
     }
-    series.add("route_lookup", services, micros(since, 1000));
+    series.add("route_lookup", services, mean_micros(since, 1000));
 }
 
+/// Returns member `i`, with one target.
 fn member(i: usize, services: usize) -> Member {
     let address = SocketAddr::from(([10, (i >> 16) as u8, (i >> 8) as u8, i as u8], 7001));
     Member {
@@ -309,17 +322,17 @@
     }
 }
 
-/// Membership and routing against the number of targets.
-fn membership(series: &mut Series, targets: usize) {
+/// Measures membership and routing with this number of targets.
+fn measure_membership(series: &mut Series, targets: usize) {
     let services = (SERVICES * targets / TARGETS).max(1);
-    let before = allocated();
+    let before = allocated_bytes();
     let mut table = Table::default();
     let since = Instant::now();
     for i in 0..targets {
         table.merge(member(i, services));
     }
-    series.add("member_merge", targets, micros(since, targets));
-    series.add("table_memory", targets, allocated() - before);
+    series.add("member_merge", targets, mean_micros(since, targets));
+    series.add("table_memory", targets, allocated_bytes() - before);
     series.add(
         "member_bytes",
         targets,
@@ -334,14 +347,14 @@
     );
     let since = Instant::now();
     let encoded = wire::encode(&all);
-    series.add("table_encode", targets, micros(since, 1));
+    series.add("table_encode", targets, mean_micros(since, 1));
     let since = Instant::now();
-    let decoded: Vec<Member> = wire::decode(&encoded).expect("whole");
+    let decoded: Vec<Member> = wire::decode(&encoded).expect("complete");
     let mut other = Table::default();
     for member in decoded {
         other.merge(member);
     }
-    series.add("table_take", targets, micros(since, 1));
+    series.add("table_take", targets, mean_micros(since, 1));
     let (domain, node) = (
         name("d0".into()),
         "node-0".parse::<Node>().expect("a valid name"),
@@ -350,34 +363,34 @@
     for _ in 0..20 {
         black_box(rank::reader(&table, &domain, &node));
     }
-    series.add("rank_reader", targets, micros(since, 20));
+    series.add("rank_reader", targets, mean_micros(since, 20));
     let since = Instant::now();
     for _ in 0..20 {
         black_box(rank::writer(&table, &node));
     }
-    series.add("rank_writer", targets, micros(since, 20));
+    series.add("rank_writer", targets, mean_micros(since, 20));
     let since = Instant::now();
     for _ in 0..20 {
         black_box(rank::neighbours(&table, &domain, &node).len());
     }
-    series.add("neighbours", targets, micros(since, 20));
+    series.add("neighbours", targets, mean_micros(since, 20));
 
     let since = Instant::now();
     for _ in 0..20 {
         black_box(rank::partners(&table, &domain, &node).len());
     }
-    series.add("partners", targets, micros(since, 20));
+    series.add("partners", targets, mean_micros(since, 20));
     let since = Instant::now();
     for _ in 0..20 {
         black_box(rank::far_partners(&table, &domain, &node).len());
     }
-    series.add("far_partners", targets, micros(since, 20));
+    series.add("far_partners", targets, mean_micros(since, 20));
     let since = Instant::now();
     for _ in 0..20 {
         let members: Vec<Arc<Member>> = table.iter().cloned().collect();
         black_box(members.len());
     }
-    series.add("look_through", targets, micros(since, 20));
+    series.add("look_through", targets, mean_micros(since, 20));
 
     let mut health = Health::default();
     let mut rng = fastrand::Rng::with_seed(1);
@@ -403,62 +416,61 @@
             .collect();
         black_box(pick(&candidates, &mut rng));
     }
-    series.add("decision", targets, micros(since, DECISIONS));
+    series.add("decision", targets, mean_micros(since, DECISIONS));
 }
 
-fn fits(mut series: Series) -> Vec<Slope> {
-    let mut take = |what, unit, against, target| {
+/// Fits a line to each series.
+fn fit_lines(mut series: Series) -> Vec<LinearFit> {
+    let mut fit = |what, unit, against, target| {
         let points = series.0.remove(what).unwrap_or_default();
-        Slope::fit(what, unit, against, points, target)
+        LinearFit::new(what, unit, against, points, target)
     };
     vec![
-        take("apply", "us", "services", SERVICES),
-        take("view_next", "us", "services", SERVICES),
-        take("view_whole", "us", "services", SERVICES),
-        take("record", "B", "services", SERVICES),
-        take("machine_and_view_memory", "B", "services", SERVICES),
-        take("snapshot_bytes", "B", "services", SERVICES),
-        take("snapshot_make", "us", "services", SERVICES),
-        take("snapshot_take", "us", "services", SERVICES),
-        take("route_lookup", "us", "services", SERVICES),
-        take("member_merge", "us", "targets", TARGETS),
-        take("member_bytes", "B", "targets", TARGETS),
-        take("table_bytes", "B", "targets", TARGETS),
-        take("table_memory", "B", "targets", TARGETS),
-        take("marks_bytes", "B", "targets", TARGETS),
-        take("rank_reader", "us", "targets", TARGETS),
-        take("rank_writer", "us", "targets", TARGETS),
-        take("neighbours", "us", "targets", TARGETS),
-        take("partners", "us", "targets", TARGETS),
-        take("far_partners", "us", "targets", TARGETS),
-        take("look_through", "us", "targets", TARGETS),
-        take("table_encode", "us", "targets", TARGETS),
-        take("table_take", "us", "targets", TARGETS),
-        take("decision", "us", "targets", TARGETS),
+        fit("apply", "us", "services", SERVICES),
+        fit("view_next", "us", "services", SERVICES),
+        fit("view_whole", "us", "services", SERVICES),
+        fit("record", "B", "services", SERVICES),
+        fit("machine_and_view_memory", "B", "services", SERVICES),
+        fit("snapshot_bytes", "B", "services", SERVICES),
+        fit("snapshot_make", "us", "services", SERVICES),
+        fit("snapshot_take", "us", "services", SERVICES),
+        fit("route_lookup", "us", "services", SERVICES),
+        fit("member_merge", "us", "targets", TARGETS),
+        fit("member_bytes", "B", "targets", TARGETS),
+        fit("table_bytes", "B", "targets", TARGETS),
+        fit("table_memory", "B", "targets", TARGETS),
+        fit("marks_bytes", "B", "targets", TARGETS),
+        fit("rank_reader", "us", "targets", TARGETS),
+        fit("rank_writer", "us", "targets", TARGETS),
+        fit("neighbours", "us", "targets", TARGETS),
+        fit("partners", "us", "targets", TARGETS),
+        fit("far_partners", "us", "targets", TARGETS),
+        fit("look_through", "us", "targets", TARGETS),
+        fit("table_encode", "us", "targets", TARGETS),
+        fit("table_take", "us", "targets", TARGETS),
+        fit("decision", "us", "targets", TARGETS),
     ]
 }
 
-fn plot(slope: &Slope, dir: &Path) -> Result<(), Box<dyn std::error::Error>> {
-    let path = dir.join(format!("{}.svg", slope.what));
+/// Writes a plot of the points and the line to `dir`.
+fn plot(fit: &LinearFit, dir: &Path) -> Result<(), Box<dyn std::error::Error>> {
+    let path = dir.join(format!("{}.svg", fit.what));
     let root = SVGBackend::new(&path, (480, 320)).into_drawing_area();
     root.fill(&WHITE)?;
-    let xmax = slope.points.iter().map(|p| p.0).fold(0.0, f64::max) * 1.05;
-    let ymax = slope.points.iter().map(|p| p.1).fold(1e-9, f64::max) * 1.15;
+    let xmax = fit.points.iter().map(|p| p.0).fold(0.0, f64::max) * 1.05;
+    let ymax = fit.points.iter().map(|p| p.1).fold(1e-9, f64::max) * 1.15;
     let mut chart = ChartBuilder::on(&root)
-        .caption(
-            format!("{} [{}]", slope.what, slope.unit),
-            ("sans-serif", 16),
-        )
+        .caption(format!("{} [{}]", fit.what, fit.unit), ("sans-serif", 16))
         .margin(10)
         .x_label_area_size(34)
         .y_label_area_size(70)
         .build_cartesian_2d(0.0..xmax, 0.0..ymax)?;
     chart
         .configure_mesh()
-        .x_desc(slope.against)
+        .x_desc(fit.against)
         .max_light_lines(0)
         .draw()?;
-    let line = |x: f64| (x, (slope.intercept + slope.slope * x).max(0.0));
+    let line = |x: f64| (x, (fit.intercept + fit.slope * x).max(0.0));
     chart.draw_series(LineSeries::new([line(0.0), line(xmax)], &BLUE))?;
     chart.draw_series(
         slope
@@ -473,38 +485,38 @@
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let args: Args = argh::from_env();
     let mut series = Series::default();
-    // The first round warms the allocator and is thrown away.
-    configuration(&mut Series::default(), 100, 50);
+    // The first run warms the allocator up; its results are discarded.
+    measure_configuration(&mut Series::default(), 100, 50);
     for services in [91, 182, 365, 730] {
-        // A tenth of a day's 13,000 changes at each size.
-        configuration(&mut series, services, 1300);
+        // A tenth of the 13,000 changes of a day at each size.
+        measure_configuration(&mut series, services, 1300);
     }
     for targets in [1625, 3250, 6500, 13_000] {
-        membership(&mut series, targets);
+        measure_membership(&mut series, targets);
     }
-    let slopes = fits(series);
+    let fits = fit_lines(series);
     println!(
         "{:<24} {:>4} {:>12} {:>12} {:>9} {:>14}",
         "what", "unit", "intercept", "slope", "residual", "at target"
     );
-    for s in &slopes {
+    for fit in &fits {
         println!(
             "{:<24} {:>4} {:>12.2} {:>12.5} {:>8.1}% {:>14.1}",
-            s.what,
-            s.unit,
-            s.intercept,
-            s.slope,
-            100.0 * s.residual,
-            s.at_target
+            fit.what,
+            fit.unit,
+            fit.intercept,
+            fit.slope,
+            100.0 * fit.residual,
+            fit.at_target
         );
     }
     if let Some(path) = &args.out {
-        std::fs::write(path, serde_json::to_string_pretty(&slopes)?)?;
+        std::fs::write(path, serde_json::to_string_pretty(&fits)?)?;
     }
     if let Some(dir) = &args.plots {
         std::fs::create_dir_all(dir)?;
-        for slope in &slopes {
-            plot(slope, dir)?;
+        for fit in &fits {
+            plot(fit, dir)?;
         }
     }
     Ok(())
