--- a/examples/capacity.rs
+++ b/examples/capacity.rs
@@ -472,12 +472,7 @@
         .draw()?;
     let line = |x: f64| (x, (fit.intercept + fit.slope * x).max(0.0));
     chart.draw_series(LineSeries::new([line(0.0), line(xmax)], &BLUE))?;
-    chart.draw_series(
-        slope
-            .points
-            .iter()
-            .map(|p| Circle::new(*p, 4, RED.filled())),
-    )?;
+    chart.draw_series(fit.points.iter().map(|p| Circle::new(*p, 4, RED.filled())))?;
     root.present()?;
     Ok(())
 }
