--- a/examples/fleet.rs
+++ b/examples/fleet.rs
@@ -450,8 +450,8 @@
     convergence(&published, &fleet.in_force())
 }
 
-/// Returns the daemon that reads the log first in the failure domain of daemon 1, or
-/// `None` if that daemon is alone there.
+/// Returns the first reader of the log in the failure domain of daemon 1, or `None` if
+/// that domain has fewer than two daemons.
 fn first_reader(fleet: &Fleet) -> Option<usize> {
     let domain = fleet.domain(1);
     let members: Vec<usize> = (0..fleet.processes.len())
--- a/examples/load.rs
+++ b/examples/load.rs
@@ -7,8 +7,8 @@
 //!     cargo run --release --example load -- overload
 //!     cargo run --release --example load -- large
 //!
-//! Latency is measured from the time at which a request is scheduled, not from when
-//! it is sent.
+//! Latency is measured from the scheduled time of a request, not from the time at
+//! which it is sent.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -81,7 +81,7 @@
     seconds: Vec<(u64, u64)>,
 }
 
-/// How long before the time of a request the pacer starts to spin.
+/// How long before the scheduled time of a request the pacer starts to spin.
 const SPIN_TIME: Duration = Duration::from_micros(150);
 
 /// Sends one request, given its serial number and class, and returns whether a
@@ -137,12 +137,12 @@
         std::thread::spawn(move || {
             let start = Instant::now();
             for i in 0..count {
-                let at = start + Duration::from_secs_f64(i as f64 / rate);
+                let scheduled = start + Duration::from_secs_f64(i as f64 / rate);
                 // Sleeps most of the time: a core that only spins is not available to the
                 // processes under measurement.
-                let remaining = at.saturating_duration_since(Instant::now());
+                let remaining = scheduled.saturating_duration_since(Instant::now());
                 std::thread::sleep(remaining.saturating_sub(SPIN_TIME));
-                while Instant::now() < at {
+                while Instant::now() < scheduled {
                     std::hint::spin_loop();
                 }
                 let (latencies, useful, completed, send) = (
@@ -156,7 +156,7 @@
                 let class = [0, 1, 1, 2, 1, 0, 1, 1, 2, 1][i % 10];
                 runtime.spawn(async move {
                     let answered = tokio::time::timeout(DEADLINE * 2, send(i, class)).await;
-                    let latency = at.elapsed();
+                    let latency = scheduled.elapsed();
                     if answered == Ok(true) && latency <= DEADLINE {
                         useful[class].fetch_add(1, Ordering::Relaxed);
                         latencies[class]
--- a/examples/quickstart.rs
+++ b/examples/quickstart.rs
@@ -108,7 +108,7 @@
 }
 
 /// Returns operations for a service whose requests may go only to failure domains
-/// labelled with its jurisdiction.
+/// with the label `jurisdiction: sicily`.
 fn mesh_ops() -> Vec<Op> {
     let domain =
         |name: &str| json!({"kind": "domain", "name": name, "labels": {"jurisdiction": "sicily"}});
