--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -230,7 +230,7 @@
         .enable_all()
         .build()?;
     let work = async move {
-        let to_callers = server::everything(outbound::Take(outbound.clone()));
+        let to_callers = server::everything(outbound::OutboundHandler(outbound.clone()));
         let to_nodes = server::everything(inbound::Take(inbound.clone()));
         tokio::spawn(outbound.tidy());
         let settings = &leaving.settings;
--- a/src/transport/attempt.rs
+++ b/src/transport/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt at one target: choosing it, sending, and what the end says.
+//! One attempt of a request: choosing a target, sending the request and
+//! classifying the result.
 
 use std::{sync::Arc, time::Instant};
 
@@ -29,7 +30,8 @@
     unit::Span,
 };
 
-/// Sends requests to other nodes' inbound proxies, and remembers how that went.
+/// Sends requests to the inbound proxies of other nodes and records the health
+/// of their targets.
 pub struct Sender {
     node: Arc<Node>,
     client: reqwest::Client,
@@ -38,29 +40,30 @@
 
 /// The target chosen for an attempt.
 pub struct Choice {
-    /// The node beside the target.
+    /// The member record of the target's node.
     pub member: Arc<Member>,
-    /// Why it was chosen.
+    /// The reason for the choice.
     pub reason: Reason,
-    /// Its cost, in hundredths of its slots.
+    /// The target's cost, as a percentage of its slots.
     pub cost: u32,
-    /// How many there were to choose from.
+    /// The number of candidates.
     pub candidates: usize,
 }
 
-/// An attempt that brought no answer.
+/// An attempt that got no answer from a target.
 pub struct Failed {
-    /// What the caller is told, if this was the last attempt.
+    /// The refusal that the caller gets if there is no further attempt.
     pub refusal: Refusal,
     /// The node that was tried.
     pub node: id::Node,
-    /// Whether anything may have been sent to it.
+    /// Whether any part of the request may have been sent to the node.
     pub was_sent: bool,
 }
 
 impl Failed {
-    /// Returns the one of two that leaves more in doubt: "not run" is said
-    /// only if it holds for both.
+    /// Returns the failure of two parallel attempts to report: one after which
+    /// the request may have run, if any. "Not run" is thus reported only if it
+    /// holds for both.
     pub fn or(self, other: Self) -> Self {
         if self.refusal.outcome == Outcome::NotRun {
             other
@@ -75,7 +78,7 @@
     ///
     /// # Errors
     ///
-    /// If keys or certificates can't be used.
+    /// Returns an error if a key or certificate is invalid.
     pub fn new(node: Arc<Node>) -> Result<Self, super::Error> {
         let client = tls::client(&node.settings)?;
         Ok(Self {
@@ -85,7 +88,7 @@
         })
     }
 
-    /// Forgets what was seen of targets that have left.
+    /// Removes the health records of targets that have left.
     pub fn tidy(&self) {
         let table = self.node.table.read();
         self.health
@@ -93,11 +96,13 @@
             .retain(|node| table.get(node).is_some_and(|m| m.is_present()));
     }
 
-    /// Makes one attempt at the target chosen; `is_again` if the request may have run before.
+    /// Makes one attempt at the chosen target. `is_again` states whether an earlier
+    /// attempt may have run the request.
     ///
     /// # Errors
     ///
-    /// Why there is no answer of the target's, and whether it may have run.
+    /// Returns the reason why the target gave no answer, and whether the request may
+    /// have run.
     pub fn attempt<'a>(
         &'a self,
         plan: &'a Plan,
@@ -112,11 +117,11 @@
         self.attempt_with(plan, choice, headers, body)
     }
 
-    /// The same, with headers of its own.
+    /// Makes one attempt at the chosen target with the given headers.
     ///
     /// # Errors
     ///
-    /// As [`Sender::attempt`].
+    /// Returns the same errors as [`Sender::attempt`].
     pub fn attempt_with<'a>(
         &'a self,
         plan: &'a Plan,
@@ -150,7 +155,7 @@
         )
     }
 
-    /// Returns the headers that a request is passed on with.
+    /// Returns the headers to forward a request with.
     pub fn headers(&self, plan: &Plan) -> HeaderMap {
         let mut headers = plan.onward.headers.clone();
         let left = plan.deadline.saturating_duration_since(Instant::now());
@@ -160,18 +165,18 @@
         headers
     }
 
-    /// Says which service a request is for, and by which version; the client
-    /// says who sends it.
+    /// Sets the headers that name the service and this node's version. The HTTP
+    /// client sets those that name the sending node.
     fn sign(&self, headers: &mut HeaderMap, service: &Name) {
         http::set(headers, answer::SERVICE, service);
         http::set(headers, answer::VERSION, self.node.version());
     }
 
-    /// Chooses a target among those allowed and not `tried` yet.
+    /// Chooses a target among the allowed ones that are not in `tried`.
     ///
     /// # Errors
     ///
-    /// The refusal, if there is none.
+    /// Returns the refusal if there is no such target.
     pub fn choose(&self, plan: &Plan, tried: &[id::Node]) -> Result<Choice, Refusal> {
         let service = &plan.service;
         let offers = offers(&self.node, service, tried);
@@ -212,7 +217,7 @@
         })
     }
 
-    /// Logs the decision for a target.
+    /// Logs the choice of a target.
     pub fn log_choice(&self, plan: &Plan, choice: &Choice, attempt: u32) {
         let Choice {
             member,
@@ -230,7 +235,8 @@
     }
 }
 
-/// Returns the members that may be sent requests of `service`.
+/// Returns the members that requests to `service` may be sent to, without those in
+/// `tried`.
 pub fn offers(node: &Node, service: &view::Service, tried: &[id::Node]) -> Vec<Arc<Member>> {
     let table = node.table.read();
     let serves = |member: &Member| {
@@ -248,8 +254,8 @@
         .collect()
 }
 
-/// Sorts the end of an attempt: what it says of the target, and of the
-/// request.
+/// Classifies the result of an attempt: the first part is for the target's health, the
+/// second for the request.
 fn judge(
     result: Result<reqwest::Response, http::Failure>,
     node: id::Node,
@@ -271,8 +277,8 @@
     };
     let load = http::parse(response.headers(), answer::LOAD);
     let Some(refusal) = http::refusal(&response) else {
-        let own_fault = response.status().is_server_error();
-        let end = if own_fault {
+        let is_server_error = response.status().is_server_error();
+        let end = if is_server_error {
             End::Failed
         } else {
             End::Answered(load)
@@ -295,7 +301,7 @@
     )
 }
 
-/// Counts an attempt as outstanding until it ends, however it ends.
+/// Counts an attempt as outstanding until it ends or is dropped.
 struct Watch<'a> {
     sender: &'a Sender,
     node: id::Node,
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,11 +1,12 @@
-//! Transport: HTTP servers and clients, by library.
+//! HTTP servers and clients of the daemon.
 //!
-//! A request enters through [`outbound`] (from a caller; [`plan`] and
-//! [`attempt`] are its parts) and [`inbound`] (from another node; [`keyed`] for
-//! requests under a key). [`peers`] carries frames between nodes, [`log`] the
-//! platform's log, [`operators`] the command-line tool and [`targets`] the
-//! announcements. [`http`], [`server`], [`tls`] and [`identity`] hold what they
-//! have in common.
+//! [`outbound`] takes requests from callers, with [`plan`] and [`attempt`] as
+//! its parts. [`inbound`] takes requests from other nodes, with [`keyed`] for
+//! requests with an idempotency key. [`peers`] exchanges frames with other
+//! nodes, [`log`] is the client of the platform's log, [`operators`] serves
+//! the command-line tool, and [`targets`] receives the announcements of
+//! targets. [`http`], [`server`], [`tls`] and [`identity`] contain the shared
+//! parts.
 
 pub mod attempt;
 pub mod http;
@@ -22,27 +23,27 @@
 pub mod targets;
 pub mod tls;
 
-/// An error of this layer.
+/// An error in setting up a server or client.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// An address can't be listened on.
+    /// A server could not listen on an address.
     #[error("cannot listen on {address}")]
     Listen {
         /// The address.
         address: std::net::SocketAddr,
-        /// The system's error.
+        /// The operating system's error.
         #[source]
         source: std::io::Error,
     },
-    /// A key or certificate can't be used.
+    /// A key or certificate could not be read or is invalid.
     #[error("cannot use {path}: {what}")]
     Tls {
         /// The file.
         path: std::path::PathBuf,
-        /// What is wrong with it.
+        /// A description of the fault.
         what: String,
     },
-    /// The HTTP client can't be made.
+    /// An HTTP client could not be built.
     #[error("cannot make an HTTP client")]
     Client(#[from] reqwest::Error),
 }
--- a/src/transport/outbound.rs
+++ b/src/transport/outbound.rs
@@ -1,4 +1,4 @@
-//! Requests from callers.
+//! The outbound proxy: routes requests from callers to targets.
 
 use std::{collections::HashMap, sync::Arc, time::Instant};
 
@@ -27,7 +27,7 @@
     unit::Span,
 };
 
-/// The outbound proxy.
+/// The outbound proxy of a node.
 pub struct Outbound {
     node: Arc<Node>,
     sender: Sender,
@@ -39,7 +39,7 @@
     ///
     /// # Errors
     ///
-    /// If keys or certificates can't be used.
+    /// Returns an error if a key or certificate is invalid.
     pub fn new(node: Arc<Node>) -> Result<Arc<Self>, super::Error> {
         let sender = Sender::new(node.clone())?;
         Ok(Arc::new(Self {
@@ -49,8 +49,8 @@
         }))
     }
 
-    /// Forgets what was seen of targets that have left, now and then; never
-    /// returns.
+    /// Removes the health records of targets that have left, once a minute.
+    /// Never returns.
     pub async fn tidy(self: Arc<Self>) {
         loop {
             tokio::time::sleep(Span::from_secs(60).duration()).await;
@@ -78,23 +78,33 @@
         }
     }
 
-    /// Tries targets until one answers, the budget is spent, or nothing more
-    /// may be tried without the risk of running the request twice.
+    /// Tries targets until one answers or no further attempt is allowed: the
+    /// retry budget is spent, the deadline has passed, the body can't be sent
+    /// again, or a retry might run a request twice that may only run once.
     async fn attempts(&self, plan: &Plan, mut body: Body) -> Result<reqwest::Response, Refusal> {
         let service = &plan.service.name;
         self.earn(plan);
         let mut tried = Vec::new();
-        let mut doubt = None;
+        let mut uncertain = None;
         for attempt in 0..=MAX_RETRIES {
             let choice = match self.sender.choose(plan, &tried) {
                 Ok(choice) => choice,
-                Err(refusal) => return Err(doubt.unwrap_or(refusal)),
+                Err(refusal) => return Err(uncertain.unwrap_or(refusal)),
             };
             self.sender.log_choice(plan, &choice, attempt);
-            let Some(sent) = body.take() else { break };
+            let Some(sent) = body.take() else {
+                break;
+            };
             tried.push(choice.member.node.clone());
             let failed = match self
-                .hedged(plan, choice, sent, body.kept(), doubt.is_some(), &mut tried)
+                .hedged(
+                    plan,
+                    choice,
+                    sent,
+                    body.kept(),
+                    uncertain.is_some(),
+                    &mut tried,
+                )
                 .await
             {
                 Ok(response) => return Ok(response),
@@ -102,7 +112,7 @@
             };
             let may_have_run = failed.refusal.outcome != Outcome::NotRun;
             if may_have_run {
-                doubt = Some(failed.refusal.clone());
+                uncertain = Some(failed.refusal.clone());
             }
             let stop = (may_have_run && !plan.repeatable)
                 || body.kept().is_none()
@@ -110,8 +120,8 @@
                 || Instant::now() >= plan.deadline
                 || !self.spend(service);
             if stop {
-                // "Not run" is said only if it holds for every attempt.
-                return Err(doubt.unwrap_or(failed.refusal));
+                // Reports "not run" only if no attempt may have run the request.
+                return Err(uncertain.unwrap_or(failed.refusal));
             }
             self.node.metrics.retries.inc();
             let details = format_args!(
@@ -120,23 +130,25 @@
             );
             self.node.journal.write(Event::Retried, details);
         }
-        Err(doubt.unwrap_or_else(|| Refusal::not_run("no attempt is left", Span::from_secs(1))))
+        Err(uncertain.unwrap_or_else(|| Refusal::not_run("no attempt is left", Span::from_secs(1))))
     }
 
-    /// Makes one attempt, and a second one beside it if the first is slow and
-    /// the request may run twice; `is_again` if it may have run before.
+    /// Makes an attempt and, if it takes longer than the policy's hedging
+    /// delay and the request may run twice, a second one in parallel.
+    ///
+    /// `is_again` states whether an earlier attempt may have run the request.
     async fn hedged(
         &self,
         plan: &Plan,
         choice: Choice,
         sent: reqwest::Body,
-        again: Option<Bytes>,
+        retry_body: Option<Bytes>,
         is_again: bool,
         tried: &mut Vec<id::Node>,
     ) -> Result<reqwest::Response, Failed> {
         let mut first = self.sender.attempt(plan, choice, sent, is_again);
         let (Some(after), true, Some(bytes)) =
-            (plan.service.policy.hedge_after, plan.repeatable, again)
+            (plan.service.policy.hedge_after, plan.repeatable, retry_body)
         else {
             return first.await;
         };
@@ -165,6 +177,7 @@
         }
     }
 
+    /// Adds the tokens of a first attempt to the service's retry budget.
     fn earn(&self, plan: &Plan) {
         let carried = self.node.doors.repeats();
         let mut budgets = self.budgets.lock();
@@ -174,6 +187,8 @@
             .earn(plan.service.policy.retry, carried);
     }
 
+    /// Takes a token from the retry budget of `service`. Returns false if none
+    /// is left.
     fn spend(&self, service: &Name) -> bool {
         self.budgets
             .lock()
@@ -182,7 +197,8 @@
             .spend()
     }
 
-    /// Sends a keyed request to the one node that may run it.
+    /// Sends a keyed request to the node that issued the key, the only one that
+    /// may run it.
     async fn keyed(
         &self,
         plan: &Plan,
@@ -190,7 +206,7 @@
         mut body: Body,
     ) -> Result<reqwest::Response, Refusal> {
         let member = self.node.table.read().get(&key.node).cloned();
-        let gone = || {
+        let key_lost = || {
             Refusal::unknown(
                 410,
                 "the process that held the key is gone; what became of its request is not known",
@@ -198,7 +214,7 @@
         };
         let member = member
             .filter(|m| m.incarnation <= key.incarnation)
-            .ok_or_else(gone)?;
+            .ok_or_else(key_lost)?;
         if !plan.service.allowed.contains_key(&member.domain) {
             return Err(Refusal::unknown(
                 409,
@@ -218,23 +234,23 @@
             let mut headers = self.sender.headers(plan);
             http::set(&mut headers, answer::KEYED, 1);
             let Some(sent) = body.take() else {
-                return Err(gone());
+                return Err(key_lost());
             };
             let result = self.sender.attempt_with(plan, choice, headers, sent).await;
             let failed = match result {
                 Ok(response) => return Ok(response),
                 Err(failed) => failed,
             };
-            // The same key at the same node is safe to repeat.
+            // A repeat is safe: the node runs a request at most once per key.
             attempt += 1;
             let broke_off = failed.refusal.status == 502;
             if !broke_off || attempt > MAX_RETRIES || !self.spend(&plan.service.name) {
-                return Err(of_key(failed));
+                return Err(key_refusal(failed));
             }
         }
     }
 
-    /// Gets keys from a node that may run requests of a service.
+    /// Requests keys from a node that has a target of the service.
     async fn issue(&self, req: &mut Request) -> Result<reqwest::Response, Refusal> {
         let view = self.node.require_view()?;
         let name = req
@@ -260,6 +276,7 @@
         self.attempts(&plan, Body::Whole(Bytes::new())).await
     }
 
+    /// Updates the metrics for a request that arrived at `since`.
     fn count(&self, outcome: Outcome, since: Instant) {
         let fate = Fate {
             outcome: outcome.to_string(),
@@ -272,9 +289,10 @@
     }
 }
 
-/// Returns what the end of an attempt says of a key. An earlier request under
-/// the key may have run, so a node that can't be reached leaves that unknown.
-fn of_key(failed: Failed) -> Refusal {
+/// Returns the refusal for a keyed request whose attempt failed. If the node is
+/// unreachable, the outcome is unknown: an earlier request with the same key may
+/// have run.
+fn key_refusal(failed: Failed) -> Refusal {
     if failed.was_sent {
         return failed.refusal;
     }
@@ -285,11 +303,11 @@
     }
 }
 
-/// The route of the outbound proxy.
-pub struct Take(pub Arc<Outbound>);
+/// The HTTP handler of the outbound proxy.
+pub struct OutboundHandler(pub Arc<Outbound>);
 
 #[salvo::async_trait]
-impl Handler for Take {
+impl Handler for OutboundHandler {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let since = Instant::now();
         let outbound = &self.0;
--- a/src/transport/plan.rs
+++ b/src/transport/plan.rs
@@ -1,4 +1,4 @@
-//! A caller's request, and what the view says about it.
+//! The route, service and policy that apply to a caller's request.
 
 use std::{sync::Arc, time::Instant};
 
@@ -24,33 +24,34 @@
     unit::{Size, Span},
 };
 
-/// The largest body that is kept to be sent again.
-const KEPT_BODY: u64 = 64 << 10;
+/// The size in bytes of the largest body that is buffered for retries.
+const MAX_RETRY_BODY: u64 = 64 << 10;
 
-/// A request and what the view says about it.
+/// A request with the route and service that the view gives for it.
 pub struct Plan {
     /// The version of the view.
     pub version: Version,
     /// The route that matched.
     pub route: Name,
-    /// The service it leads to.
+    /// The service that the route leads to.
     pub service: Arc<view::Service>,
     /// The request's class.
     pub class: Class,
-    /// What is passed on.
+    /// The forwarded parts of the request.
     pub onward: Onward,
-    /// When the answer must have begun.
+    /// The time by which the answer must have begun.
     pub deadline: Instant,
     /// Whether it may run more than once.
     pub repeatable: bool,
 }
 
 impl Plan {
-    /// Finds the route of a request and what its service demands.
+    /// Returns the plan for a request: its route, service, class and deadline.
     ///
     /// # Errors
     ///
-    /// The refusal; the request has not run.
+    /// Returns the refusal if no route matches or the deadline has passed. The request
+    /// has not run.
     pub fn new(node: &Node, req: &Request) -> Result<Self, Refusal> {
         let view = node.require_view()?;
         let onward = Onward::of(req);
@@ -65,7 +66,8 @@
             return Err(Refusal::rejected(404, "no route matches"));
         };
         let Some(service) = view.service(&route.service).cloned() else {
-            // The view guarantees it; were it broken, no request must pass.
+            // A view contains the service of each of its routes. If this one does not,
+            // the request must be refused.
             return Err(Refusal::not_run(
                 "the route's service is not in the view",
                 Span::from_secs(1),
@@ -93,7 +95,7 @@
         })
     }
 
-    /// Returns how far a failure domain is.
+    /// Returns the distance of a failure domain.
     pub fn distance(&self, domain: &Name) -> Distance {
         self.service
             .allowed
@@ -103,21 +105,22 @@
     }
 }
 
-/// A request body: kept whole, or passed on once.
+/// A request body, either buffered whole or streamed once.
 pub enum Body {
-    /// Whole, so it can be sent again.
+    /// The whole body, which can be sent in a retry.
     Whole(Bytes),
-    /// In pieces as they come; gone once it is taken.
+    /// The stream of pieces. `None` once it is taken.
     Once(Option<Pieces>),
 }
 
 impl Body {
-    /// Takes the body of a request: small ones whole, so that they can be sent
-    /// again.
+    /// Returns the body of a request. A small body is buffered whole, so that it can be
+    /// sent in a retry.
     ///
     /// # Errors
     ///
-    /// The refusal, if it is too large or breaks off; the request has not run.
+    /// Returns the refusal if the body is too large or incomplete. The request has not
+    /// run.
     pub async fn of(req: &mut Request, plan: &Plan, idle: Span) -> Result<Self, Refusal> {
         let max = plan.service.policy.max_body;
         let length: Option<u64> = http::parse(req.headers(), "content-length");
@@ -128,7 +131,8 @@
                 format!("request body is larger than {max}"),
             ));
         }
-        // HTTP/2 need not say a length; the end of the stream does.
+        // An HTTP/2 request without a body need not have a content-length: the end of the
+        // stream marks the empty body.
         let body = req.take_body();
         if length.is_none() && !chunked && body.is_end_stream() {
             return Ok(Self::Whole(Bytes::new()));
@@ -137,7 +141,7 @@
         let kept = if keyed {
             keyed::MAX_BODY as u64
         } else {
-            KEPT_BODY
+            MAX_RETRY_BODY
         };
         if keyed && length.is_none_or(|length| length > kept) {
             return Err(Refusal::rejected(
@@ -155,7 +159,7 @@
         Ok(Self::Once(Some(http::request_pieces(body, max, idle))))
     }
 
-    /// Returns the body to send, if there is still one.
+    /// Returns the body to send, or `None` if a streamed body was already taken.
     pub fn take(&mut self) -> Option<reqwest::Body> {
         match self {
             Self::Whole(bytes) => Some(bytes.clone().into()),
@@ -163,7 +167,7 @@
         }
     }
 
-    /// Returns the whole body, if it can be sent again.
+    /// Returns the whole body if it can be sent in a retry.
     pub fn kept(&self) -> Option<Bytes> {
         match self {
             Self::Whole(bytes) => Some(bytes.clone()),
@@ -172,7 +176,7 @@
     }
 }
 
-/// Returns the `Host` of a request, without its port.
+/// Returns the host name that a request is addressed to, in lower case and without the port.
 fn host(req: &Request) -> Option<String> {
     let host = http::get(req.headers(), "host").or_else(|| req.uri().host())?;
     let end = host
