--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -1,4 +1,4 @@
-//! What clients and servers have in common.
+//! HTTP functions shared by the clients and servers.
 
 use std::{pin::Pin, time::Duration};
 
@@ -17,24 +17,24 @@
     unit::{Size, Span},
 };
 
-/// A body in pieces.
+/// A body as a stream of pieces.
 pub type Pieces = Pin<Box<dyn Stream<Item = Result<Bytes, std::io::Error>> + Send>>;
 
-/// How long a connection may take to come about; within one failure domain it
-/// takes about a millisecond.
-pub const CONNECT: Duration = Duration::from_secs(1);
+/// The timeout for opening a connection. Within one failure domain that takes about
+/// a millisecond.
+pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long an unused connection is kept; longer than between two pings of one
-/// partner.
-const KEEP: Duration = Duration::from_secs(60);
+/// The time after which an idle connection is closed. It is longer than the
+/// interval between two pings of the same peer.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Unused connections kept for each node.
-const KEPT: usize = 64;
+/// The maximum number of idle connections kept for each peer.
+const MAX_IDLE_PER_PEER: usize = 64;
 
-/// Returns a builder for clients: nothing is redirected, retried or proxied
-/// behind our back.
+/// Returns a builder for HTTP clients that follow no redirects, make no retries of
+/// their own and use no proxy.
 pub fn client() -> reqwest::ClientBuilder {
-    // Fails only if a provider is there already, which serves as well.
+    // Fails only if a provider is installed already, which works as well.
     let _ = rustls::crypto::ring::default_provider().install_default();
     reqwest::Client::builder()
         .no_proxy()
@@ -42,19 +42,20 @@
         .retry(reqwest::retry::never())
         .http1_only()
         .tcp_nodelay(true)
-        .connect_timeout(CONNECT)
-        .pool_idle_timeout(KEEP)
-        .pool_max_idle_per_host(KEPT)
+        .connect_timeout(CONNECT_TIMEOUT)
+        .pool_idle_timeout(IDLE_TIMEOUT)
+        .pool_max_idle_per_host(MAX_IDLE_PER_PEER)
 }
 
-/// Returns a builder for clients that reach other hosts: their connections come
-/// from the address that the node listens on, so that a host with several is
-/// always seen under the same one.
+/// Returns a builder for clients of other hosts. Their connections come from the
+/// address that the node listens on, so that a host with several addresses always
+/// uses the same one.
 pub fn bound_client(settings: &Settings) -> reqwest::ClientBuilder {
     client().local_address(settings.listen.peers.ip())
 }
 
-/// Returns the same for other nodes, to whom every request says who sends it.
+/// Returns a builder for clients of other nodes. Each request names the sending
+/// node and its failure domain in headers.
 pub fn mesh_client(settings: &Settings) -> reqwest::ClientBuilder {
     let mut headers = HeaderMap::new();
     set(&mut headers, answer::NODE, &settings.node);
@@ -62,7 +63,7 @@
     bound_client(settings).default_headers(headers)
 }
 
-/// Headers that speak of one connection and are not passed on.
+/// Headers that concern a single connection and are not forwarded.
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -75,12 +76,12 @@
     "upgrade",
 ];
 
-/// Returns `headers` without those of one connection and of the system.
+/// Returns `headers` without hop-by-hop headers and those of the system.
 pub fn passed_on(headers: &HeaderMap) -> HeaderMap {
     end_to_end(headers, answer::PREFIX)
 }
 
-/// Returns `headers` without those of one connection and those that start with
+/// Returns `headers` without hop-by-hop headers and those whose names start with
 /// `prefix`.
 pub fn end_to_end(headers: &HeaderMap, prefix: &str) -> HeaderMap {
     let named: Vec<String> = headers
@@ -110,17 +111,17 @@
     }
 }
 
-/// Returns a header as text.
+/// Returns the value of a header, if it is valid text.
 pub fn get<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// Returns a header decoded.
+/// Returns the parsed value of a header, if it is valid.
 pub fn parse<T: std::str::FromStr>(headers: &HeaderMap, name: &str) -> Option<T> {
     get(headers, name)?.parse().ok()
 }
 
-/// Writes a refusal as the answer.
+/// Writes a refusal to an answer.
 pub fn refuse(res: &mut Response, refusal: &Refusal) {
     res.status_code(StatusCode::from_u16(refusal.status).unwrap_or(StatusCode::BAD_GATEWAY));
     let headers = res.headers_mut();
@@ -134,7 +135,7 @@
     res.replace_body(ResBody::Once(text.into()));
 }
 
-/// Returns the refusal that another node answered with, if it is one.
+/// Returns the refusal in a node's answer, or `None` if the answer is not a refusal.
 pub fn refusal(response: &reqwest::Response) -> Option<Refusal> {
     let headers = response.headers();
     let outcome = parse(headers, answer::OUTCOME)?;
@@ -151,8 +152,8 @@
     })
 }
 
-/// Returns the body of a request in pieces, each within `idle`, `max` bytes
-/// at most.
+/// Returns the body of a request as a stream that fails if it exceeds `max` bytes
+/// or if a piece takes longer than `idle`.
 pub fn request_pieces(body: ReqBody, max: Size, idle: Span) -> Pieces {
     let mut left = max.as_bytes();
     let limited = BodyDataStream::new(body).map(move |piece| {
@@ -162,12 +163,13 @@
             .ok_or_else(|| std::io::Error::other("request body is larger than allowed"))?;
         Ok(piece)
     });
-    timed(limited.boxed(), idle)
+    with_idle_timeout(limited.boxed(), idle)
 }
 
-/// Returns the body of an answer in pieces, each within `idle`.
+/// Returns the body of an answer as a stream that fails if a piece takes longer than
+/// `idle`.
 pub fn response_pieces(response: reqwest::Response, idle: Span) -> Pieces {
-    timed(
+    with_idle_timeout(
         response
             .bytes_stream()
             .map_err(std::io::Error::other)
@@ -176,8 +178,8 @@
     )
 }
 
-/// Ends `pieces` with an error when one takes longer than `idle`.
-fn timed(pieces: Pieces, idle: Span) -> Pieces {
+/// Returns a stream of `pieces` that fails if a piece takes longer than `idle`.
+fn with_idle_timeout(pieces: Pieces, idle: Span) -> Pieces {
     let next = move |mut pieces: Pieces| async move {
         let piece = tokio::time::timeout(idle.duration(), pieces.next()).await;
         match piece {
@@ -188,11 +190,11 @@
     futures_util::stream::unfold(pieces, next).boxed()
 }
 
-/// Reads a whole body of at most `max` bytes.
+/// Returns the whole body of at most `max` bytes.
 ///
 /// # Errors
 ///
-/// If it breaks off or is larger.
+/// Returns an error if the body is incomplete or larger.
 pub async fn whole(mut pieces: Pieces, max: usize) -> Result<Bytes, std::io::Error> {
     let mut body = Vec::new();
     while let Some(piece) = pieces.next().await {
@@ -204,29 +206,29 @@
     Ok(body.into())
 }
 
-/// Puts a body in pieces into an answer.
+/// Sets the body of an answer to a stream of pieces.
 pub fn stream(res: &mut Response, pieces: Pieces) {
     res.stream(pieces);
 }
 
-/// What is sent on to a node or target.
+/// A request to a node or target.
 pub struct Outgoing {
     /// The method.
     pub method: http::Method,
-    /// Where to.
+    /// The URL of the node or target.
     pub url: String,
     /// The headers.
     pub headers: HeaderMap,
     /// The body.
     pub body: reqwest::Body,
-    /// When the head of the answer must be there.
+    /// The time by which the head of the answer must arrive.
     pub deadline: std::time::Instant,
 }
 
-/// Why no answer came.
+/// The reason why no answer arrived.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Failure {
-    /// No connection came about, so nothing was sent.
+    /// No connection was established, so nothing was sent.
     NotSent,
     /// The connection broke after something may have been sent.
     Broken,
@@ -235,7 +237,8 @@
 }
 
 impl Failure {
-    /// Returns the refusal that tells a caller of this failure at `whom`.
+    /// Returns the refusal that reports this failure to the caller. `whom` names the
+    /// node or target.
     pub fn refusal(&self, whom: &str) -> Refusal {
         match self {
             Self::NotSent => {
@@ -251,8 +254,8 @@
 ///
 /// # Errors
 ///
-/// Why no answer came. A timeout is never taken for "not sent": the
-/// connection may just have come about.
+/// Returns the reason why no answer arrived. A timeout never counts as "not sent",
+/// because the connection may have been established just before it.
 pub async fn forward(
     client: &reqwest::Client,
     out: Outgoing,
--- a/src/transport/identity.rs
+++ b/src/transport/identity.rs
@@ -1,9 +1,9 @@
-//! Whether a node is who it says it is.
+//! The authentication of nodes and operators.
 //!
-//! Every request between nodes names the sender's node and failure domain.
-//! Under TLS the sender's certificate must be for the DNS name
-//! `NODE.DOMAIN`, so a node can claim neither another's name nor another
-//! failure domain, which would change where it may send.
+//! Every request between nodes names the sender's node and failure domain. With TLS
+//! the sender's certificate must be for the DNS name `NODE.DOMAIN`. A node can
+//! therefore claim neither another node's name nor another failure domain, which
+//! would change where it may send requests.
 
 use rustls::pki_types::{CertificateDer, ServerName};
 use salvo::Request;
@@ -16,31 +16,32 @@
     transport::http,
 };
 
-/// Who sent a request.
+/// The node that sent a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Identity {
-    /// The node.
+    /// The node's name.
     pub node: Node,
     /// Its failure domain.
     pub domain: Name,
 }
 
-/// A sender that is not who it says it is.
+/// The reason why a sender's identity is not accepted.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Error {
-    /// It does not say who it is.
+    /// The request does not name the sender.
     #[error("the sender does not say which node it is")]
     Unnamed,
-    /// Its certificate is for another name.
+    /// The sender's certificate is for another name.
     #[error("the sender's certificate is not for {0}")]
-    Impostor(String),
+    WrongCertificate(String),
 }
 
-/// Returns who sent `req`, as its certificate confirms where there is TLS.
+/// Returns the sender of `req`. With TLS its certificate must confirm the identity.
 ///
 /// # Errors
 ///
-/// If the sender does not say so or is not who it says it is.
+/// Returns an error if the request does not name its sender or the certificate is for
+/// another name.
 pub fn of(req: &Request, security: &Security) -> Result<Identity, Error> {
     let claimed = || {
         let node = http::parse(req.headers(), answer::NODE)?;
@@ -51,20 +52,21 @@
     match security {
         Security::Plaintext => Ok(claimed),
         Security::Tls(_) if is_certified(req, &dns_name(&claimed)) => Ok(claimed),
-        Security::Tls(_) => Err(Error::Impostor(dns_name(&claimed))),
+        Security::Tls(_) => Err(Error::WrongCertificate(dns_name(&claimed))),
     }
 }
 
 /// The DNS name that the certificate of an operator must be for.
 pub const OPERATOR: &str = "operator.rilltrack.internal";
 
-/// Returns whether `req` may do what operators do: under TLS its certificate
-/// must be an operator's, so that no node, target or caller can publish.
+/// Returns whether the sender of `req` is an operator. With TLS the sender's
+/// certificate must be an operator's, so that no node, target or caller can publish
+/// changes.
 pub fn is_operator(req: &Request, security: &Security) -> bool {
     matches!(security, Security::Plaintext) || is_certified(req, OPERATOR)
 }
 
-/// Returns the DNS name that the certificate of a node must be for.
+/// Returns the DNS name that the certificate of the given node must be for.
 pub fn dns_name(identity: &Identity) -> String {
     format!("{}.{}", identity.node, identity.domain)
 }
--- a/src/transport/inbound.rs
+++ b/src/transport/inbound.rs
@@ -1,7 +1,8 @@
-//! Requests from other nodes, for the targets on this host.
+//! The inbound proxy: passes requests from other nodes to the targets on this
+//! host.
 //!
-//! The inbound proxy is the one who knows what its targets were given, so it
-//! alone can say "not run" with certainty.
+//! Only the inbound proxy knows which requests were sent to its targets, so only
+//! it can report "not run" with certainty.
 
 use std::{
     sync::Arc,
@@ -34,24 +35,25 @@
     unit::Span,
 };
 
-/// The reason given when this node's view does not allow a request here.
+/// The reason of the refusal if this node's view does not allow a request here.
 pub const MISPLACED: &str = "not allowed here";
 
-/// How long an unused connection to a target is kept: below what targets
-/// commonly allow, so that a request is not written just as the target closes.
-const KEEP: Duration = Duration::from_secs(4);
+/// The time after which an idle connection to a target is closed. It is shorter
+/// than the usual idle timeout of targets, so that no request is written just as
+/// the target closes the connection.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// The inbound proxy.
+/// The inbound proxy of a node.
 pub struct Inbound {
     /// The node it belongs to.
     pub node: Arc<Node>,
-    /// The idempotency keys of this life.
+    /// The idempotency keys issued by this incarnation of the node.
     pub keys: Keys,
     http1: reqwest::Client,
     http2: reqwest::Client,
 }
 
-/// A request that is allowed here, with what it needs to run.
+/// A request that is allowed here, with its target, policy and deadline.
 pub struct Visit {
     /// The target.
     pub target: Target,
@@ -59,9 +61,9 @@
     pub policy: Policy,
     /// The request's class.
     pub class: Class,
-    /// When its answer must have begun.
+    /// The time by which the answer must have begun.
     pub deadline: Instant,
-    /// Whether another target may have run it.
+    /// Whether the request is a repeat, which another target may have run already.
     pub is_again: bool,
 }
 
@@ -70,11 +72,11 @@
     ///
     /// # Errors
     ///
-    /// If the HTTP client can't be made.
+    /// Returns an error if an HTTP client can't be built.
     pub fn new(node: Arc<Node>) -> Result<Arc<Self>, super::Error> {
-        let http1 = http::client().pool_idle_timeout(KEEP).build()?;
+        let http1 = http::client().pool_idle_timeout(IDLE_TIMEOUT).build()?;
         let http2 = http::client()
-            .pool_idle_timeout(KEEP)
+            .pool_idle_timeout(IDLE_TIMEOUT)
             .http2_prior_knowledge()
             .build()?;
         let keys = Keys::new(&node.settings.requests);
@@ -86,11 +88,12 @@
         }))
     }
 
-    /// Decides whether a request may run here at all.
+    /// Returns the target, policy and deadline of a request that may run here.
     ///
     /// # Errors
     ///
-    /// The refusal; the request has not run.
+    /// Returns the refusal if the view does not allow the request here or no target
+    /// can take it. The request has not run.
     pub fn receive(&self, sender: &Identity, headers: &HeaderMap) -> Result<Visit, Refusal> {
         let view = self.node.require_view()?;
         let service: Name = http::parse(headers, answer::SERVICE)
@@ -116,8 +119,10 @@
         })
     }
 
-    /// Refuses a request that this node's own view does not allow. The sender
-    /// may hold an older or a newer view; the stricter one wins.
+    /// Refuses a request that this node's own view does not allow.
+    ///
+    /// The sender may have an older or a newer view. A request must be allowed by
+    /// both.
     fn check_place(
         &self,
         view: &View,
@@ -143,6 +148,7 @@
         Err(Refusal::not_run(MISPLACED, Span::from_secs(1)))
     }
 
+    /// Returns the target of `service` on this host if it accepts requests.
     fn target(&self, service: &Name) -> Result<Target, Refusal> {
         let me = self.node.me();
         let found = me.target(service);
@@ -154,15 +160,16 @@
         }
     }
 
-    /// Waits for a slot, within the visit's deadline.
+    /// Waits for a slot of the target until the deadline and returns its permit.
     ///
     /// # Errors
     ///
-    /// The refusal; the request has not run.
+    /// Returns the refusal if no slot becomes free in time or the target is leaving.
+    /// The request has not run.
     pub async fn admit(&self, visit: &Visit) -> Result<Permit, Refusal> {
         let door = self.node.doors.get(&visit.target.service, &visit.policy);
         let permit = door.enter(visit.class, visit.deadline).await;
-        // The target may have begun to leave while the request waited.
+        // The target may have started to drain while the request waited.
         let permit = permit.and_then(|mut permit| {
             self.target(&visit.target.service)?;
             permit.begin(visit.is_again);
@@ -191,11 +198,11 @@
         permit
     }
 
-    /// Gives a request to the target.
+    /// Sends a request to the target and returns the head of its answer.
     ///
     /// # Errors
     ///
-    /// Why no answer came.
+    /// Returns the reason why no answer arrived.
     pub async fn run(
         &self,
         visit: &Visit,
@@ -224,7 +231,7 @@
         .await
     }
 
-    /// Puts the system's headers on an answer.
+    /// Sets the system's headers on an answer.
     pub fn mark(&self, headers: &mut HeaderMap, outcome: Outcome) {
         http::set(headers, answer::OUTCOME, outcome);
         http::set(headers, answer::NODE, &self.node.settings.node);
@@ -260,7 +267,7 @@
         Ok(())
     }
 
-    /// Streams the target's answer; its slot is taken until the end.
+    /// Streams the target's answer. The slot is released at the end of its body.
     fn pass(&self, response: reqwest::Response, permit: Permit, visit: &Visit, res: &mut Response) {
         res.status_code(response.status());
         *res.headers_mut() = http::passed_on(response.headers());
@@ -281,18 +288,18 @@
     }
 }
 
-/// The parts of a request that are passed on as they are.
+/// The parts of a request that are forwarded unchanged.
 pub struct Onward {
     /// The method.
     pub method: ::http::Method,
-    /// Path and query.
+    /// The path and query.
     pub path: String,
-    /// The headers, without those of one connection and of the system.
+    /// The headers, without hop-by-hop headers and those of the system.
     pub headers: HeaderMap,
 }
 
 impl Onward {
-    /// Returns what is passed on of `req`.
+    /// Returns the forwarded parts of `req`.
     pub fn of(req: &Request) -> Self {
         let path = req.uri().path_and_query().map_or("/", |path| path.as_str());
         Self {
@@ -303,11 +310,11 @@
     }
 }
 
-/// The route of the inbound proxy.
-pub struct Take(pub Arc<Inbound>);
+/// The HTTP handler of the inbound proxy.
+pub struct InboundHandler(pub Arc<Inbound>);
 
 #[salvo::async_trait]
-impl Handler for Take {
+impl Handler for InboundHandler {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let inbound = &self.0;
         let security = &inbound.node.settings.security;
--- a/src/transport/keyed.rs
+++ b/src/transport/keyed.rs
@@ -1,4 +1,5 @@
-//! Keyed requests at the inbound proxy: issued keys, and at most one run.
+//! Keyed requests at the inbound proxy: issues idempotency keys and runs the
+//! request of each key at most once.
 
 use std::{sync::Arc, time::Duration};
 
@@ -22,17 +23,18 @@
     unit::{Size, Span},
 };
 
-/// Where callers get keys, at any node, and nodes from each other.
+/// The path at which callers request keys from any node, and nodes from each
+/// other.
 pub const PATH: &str = "/rilltrack/keys";
 
-/// The largest body of a keyed request, which is held whole to compare
-/// repeats.
+/// The size in bytes of the largest body of a keyed request. The body is buffered
+/// whole, so that a repeat can be compared with the first request.
 pub const MAX_BODY: usize = 1 << 20;
 
-/// Keys given out at a time.
-const MAX_COUNT: usize = 1000;
+/// The maximum number of keys issued at a time.
+const MAX_ISSUED_KEYS: usize = 1000;
 
-/// The keys of one life of one node.
+/// The keys issued by one incarnation of a node, and the results of their requests.
 pub struct Keys {
     ledger: Mutex<Ledger>,
     life: Span,
@@ -44,12 +46,12 @@
 pub struct Issued {
     /// The keys, each for one request.
     pub keys: Vec<String>,
-    /// How long they last.
+    /// The time for which the keys are valid.
     pub expires_after: Span,
 }
 
 impl Keys {
-    /// Returns an empty set within the limits of `settings`.
+    /// Returns an empty set of keys with the limits of `settings`.
     pub fn new(settings: &settings::Requests) -> Self {
         Self {
             ledger: Mutex::new(Ledger::new(Limits {
@@ -62,8 +64,9 @@
         }
     }
 
-    /// Returns a new key's secret, which no caller can foretell from its own
-    /// keys; an ordinary generator of random numbers would give it away.
+    /// Returns the secret of a new key. It comes from a cryptographic generator,
+    /// because a caller could predict the output of an ordinary one from its own
+    /// keys.
     fn secret(&self) -> Result<u128, Refusal> {
         let mut bytes = [0; 16];
         let filled = self.random.fill(&mut bytes);
@@ -72,11 +75,12 @@
     }
 }
 
-/// Issues keys that are good at this node.
+/// Issues keys that are valid at this node and writes them to `res`.
 ///
 /// # Errors
 ///
-/// The refusal, if no target of the service is here or there is no room.
+/// Returns the refusal if no target of the service is on this host or the limit of
+/// keys is reached.
 pub fn issue(
     inbound: &Inbound,
     sender: &Identity,
@@ -84,7 +88,10 @@
     res: &mut Response,
 ) -> Result<(), Refusal> {
     inbound.receive(sender, req.headers())?;
-    let count = req.query::<usize>("count").unwrap_or(1).clamp(1, MAX_COUNT);
+    let count = req
+        .query::<usize>("count")
+        .unwrap_or(1)
+        .clamp(1, MAX_ISSUED_KEYS);
     let now = inbound.node.uptime_ms();
     let mut ledger = inbound.keys.ledger.lock();
     let mut keys = Vec::with_capacity(count);
@@ -125,11 +132,11 @@
     Ok(())
 }
 
-/// Runs a keyed request, or answers it from the record.
+/// Runs a keyed request, or answers it with the recorded result of an earlier run.
 ///
 /// # Errors
 ///
-/// The refusal, which says whether the request under this key ran.
+/// Returns the refusal, which states whether the request with this key has run.
 pub async fn serve(
     inbound: &Arc<Inbound>,
     sender: &Identity,
@@ -151,7 +158,7 @@
     let pieces = http::request_pieces(req.take_body(), Size::from_bytes(MAX_BODY as u64), idle);
     let body = http::whole(pieces, MAX_BODY).await;
     let body = body.map_err(|_| {
-        // An earlier request under the key may have run.
+        // An earlier request with the same key may have run.
         Refusal::unknown(400, "the body of the keyed request did not arrive whole")
     })?;
     let digest = digest(&service, &onward, &body);
@@ -180,12 +187,13 @@
     write(inbound, record, Outcome::Recorded, res)
 }
 
+/// Returns the time until the deadline of `req`, one second if it has none.
 fn wait(req: &Request) -> Duration {
     Duration::from_millis(http::parse(req.headers(), answer::DEADLINE).unwrap_or(1000))
 }
 
-/// Runs the request in a task of its own: should the caller go away, the run
-/// goes on to its end, so that a repeat finds the answer.
+/// Runs a keyed request in a separate task, so that it runs to its end even if the
+/// caller disconnects. A repeat then gets the recorded answer.
 async fn run(
     inbound: &Arc<Inbound>,
     visit: Result<Visit, Refusal>,
@@ -210,6 +218,7 @@
     write(inbound, record, Outcome::Answered, res)
 }
 
+/// Sends a keyed request to the target and returns the result to record.
 async fn attempt(inbound: &Inbound, visit: &Visit, onward: Onward, body: Bytes) -> Record {
     let _permit = match inbound.admit(visit).await {
         Ok(permit) => permit,
@@ -241,6 +250,7 @@
     }
 }
 
+/// Writes the result of a keyed request to `res`, or returns its refusal.
 fn write(
     inbound: &Inbound,
     record: Record,
@@ -266,6 +276,7 @@
     Ok(())
 }
 
+/// Logs a refusal of a keyed request and returns it.
 fn refused(inbound: &Inbound, refusal: Refusal) -> Refusal {
     inbound
         .node
@@ -274,7 +285,8 @@
     refusal
 }
 
-/// Returns what tells one request under a key from another.
+/// Returns the hash by which a repeat is told from another request with the same
+/// key.
 fn digest(service: &str, onward: &Onward, body: &[u8]) -> u64 {
     let mut hasher = xxhash_rust::xxh3::Xxh3::new();
     for part in [service, onward.method.as_str(), &onward.path] {
--- a/src/transport/log.rs
+++ b/src/transport/log.rs
@@ -1,4 +1,4 @@
-//! The platform's log over HTTP; see docs/LOG.md.
+//! The HTTP client of the platform's log; see docs/LOG.md.
 
 use std::sync::Arc;
 
@@ -22,14 +22,14 @@
     unit::Span,
 };
 
-/// Records asked for at a time.
-const BATCH: usize = 500;
+/// The maximum number of records in one read.
+const MAX_RECORDS: usize = 500;
 
-/// Returns the way to the log.
+/// Returns the functions that read from the log and append to it.
 ///
 /// # Errors
 ///
-/// If the HTTP client can't be made.
+/// Returns an error if the HTTP client can't be built.
 pub fn link(settings: &Settings) -> Result<Log, super::Error> {
     let client = http::bound_client(settings).build()?;
     let settings = &settings.log;
@@ -45,15 +45,17 @@
     Arc::new(move |stream: Name, from: u64, wait: Span| {
         let client = client.clone();
         let wait_ms = wait.as_millis();
-        let url =
-            format!("{base}/streams/{stream}/records?from={from}&limit={BATCH}&wait_ms={wait_ms}");
-        let patience = timeout.duration() + wait.duration();
+        let url = format!(
+            "{base}/streams/{stream}/records?from={from}&limit={MAX_RECORDS}&wait_ms={wait_ms}"
+        );
+        let max_wait = timeout.duration() + wait.duration();
         async move {
-            let sent = client.get(&url).timeout(patience).send().await;
+            let sent = client.get(&url).timeout(max_wait).send().await;
             let response = sent.map_err(|error| classify(&error, "the log"))?;
-            // 410 says that `from` has expired; it carries the bounds.
-            let known = response.status().is_success() || response.status() == StatusCode::GONE;
-            if !known {
+            // Status 410 means that the records at `from` have expired. The body gives
+            // the offsets that the log still has.
+            let has_batch = response.status().is_success() || response.status() == StatusCode::GONE;
+            if !has_batch {
                 return Err(Error::Unexpected("the log".into()));
             }
             let body = response
@@ -80,7 +82,7 @@
             let response = sent.map_err(|error| classify(&error, "the log"))?;
             match response.status() {
                 status if status.is_success() => {}
-                // The log says that it did not take the record.
+                // With these statuses the log reports that it did not append the record.
                 StatusCode::SERVICE_UNAVAILABLE
                 | StatusCode::TOO_MANY_REQUESTS
                 | StatusCode::PAYLOAD_TOO_LARGE => {
--- a/src/transport/operators.rs
+++ b/src/transport/operators.rs
@@ -1,4 +1,4 @@
-//! What the command-line tool asks of a daemon; health and metrics.
+//! The HTTP interface for the command-line tool, with health checks and metrics.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 
@@ -32,16 +32,16 @@
     unit::{Size, Span},
 };
 
-/// The largest request of the tool.
-const MAX: usize = 16 << 20;
+/// The size in bytes of the largest request of the tool.
+const MAX_REQUEST_BYTES: usize = 16 << 20;
 
-/// What the routes need.
+/// The state that the routes share.
 pub struct Desk {
     /// The node that answers.
     pub node: Arc<Node>,
-    /// The way to its peers.
+    /// The function that sends frames to its peers.
     pub call: Call,
-    /// The way to the log.
+    /// The client of the platform's log.
     pub log: Log,
     /// The targets on its host.
     pub targets: Arc<Targets>,
@@ -50,13 +50,16 @@
 type Answer<'a> = BoxFuture<'a, Result<(), String>>;
 type Serve = for<'a> fn(&'a Desk, &'a mut Request, &'a mut Response) -> Answer<'a>;
 
-/// Whether a route is for operators alone, or for whoever watches the node too.
+/// Who may use a route.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Access {
+    /// Operators only.
     Operators,
-    Watchers,
+    /// Everyone, such as health checks and metrics collectors.
+    Everyone,
 }
 
+/// A route with its access rule and function.
 struct Route(Arc<Desk>, Access, Serve);
 
 #[salvo::async_trait]
@@ -76,12 +79,12 @@
     }
 }
 
-/// Returns the routes for operators.
+/// Returns the routes for operators and for monitoring.
 pub fn router(desk: Arc<Desk>) -> Router {
     let route =
         |path: &str, access, serve| (Router::with_path(path), Route(desk.clone(), access, serve));
     let watch = |path: &str, serve: Serve| {
-        let (router, route) = route(path, Access::Watchers, serve);
+        let (router, route) = route(path, Access::Everyone, serve);
         router.get(route)
     };
     let get = |path: &str, serve: Serve| {
@@ -238,7 +241,8 @@
     .boxed()
 }
 
-/// Counts who has `version` in force, over all members that are present.
+/// Returns how many present members have `version` or a newer one in force, and how
+/// many are behind or did not answer.
 async fn count(desk: &Desk, version: Version) -> Census {
     let node = &desk.node;
     let slice: Vec<SocketAddr> = {
@@ -264,7 +268,7 @@
     census
 }
 
-/// Returns the names of the nodes that a census gives by address.
+/// Returns the names of the nodes whose addresses `census` contains.
 fn names(node: &Node, census: &Census) -> Vec<id::Node> {
     let table = node.table.read();
     let named = |peers: &SocketAddr| {
@@ -276,10 +280,11 @@
     census.named.iter().filter_map(named).collect()
 }
 
+/// Returns the decoded JSON body of a request.
 async fn body<T: serde::de::DeserializeOwned>(req: &mut Request) -> Result<T, String> {
-    let max = Size::from_bytes(MAX as u64);
+    let max = Size::from_bytes(MAX_REQUEST_BYTES as u64);
     let pieces = http::request_pieces(req.take_body(), max, Span::from_secs(5));
-    let body = http::whole(pieces, MAX)
+    let body = http::whole(pieces, MAX_REQUEST_BYTES)
         .await
         .map_err(|error| error.to_string())?;
     serde_json::from_slice(&body).map_err(|error| error.to_string())
@@ -317,6 +322,7 @@
     .boxed()
 }
 
+/// Returns the route for the request in `question`, and which targets may get it.
 fn explanation(node: &Node, view: &View, question: &Question) -> Explanation {
     let route = view.route(question.host.as_deref(), &question.path, &question.method);
     let service = route.and_then(|route| view.service(&route.service));
@@ -336,6 +342,8 @@
     }
 }
 
+/// Returns whether requests to `service` may be sent to the target of `member`, and
+/// why.
 fn judgement(member: &Member, service: &Name, allowed: &BTreeMap<Name, Distance>) -> Judgement {
     let draining = member
         .targets
--- a/src/transport/peers.rs
+++ b/src/transport/peers.rs
@@ -1,4 +1,4 @@
-//! Frames between nodes.
+//! The exchange of frames with other nodes.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -19,11 +19,11 @@
     unit::{Size, Span},
 };
 
-/// Returns the way to other nodes.
+/// Returns the function that sends a frame to another node.
 ///
 /// # Errors
 ///
-/// If the keys or certificates can't be used.
+/// Returns an error if a key or certificate is invalid.
 pub fn call(node: Arc<Node>) -> Result<Call, super::Error> {
     let client = tls::client(&node.settings)?;
     let scheme = tls::scheme(&node.settings.security);
@@ -35,6 +35,7 @@
     Ok(Arc::new(call))
 }
 
+/// Sends a frame and returns the reply.
 async fn send(
     client: &reqwest::Client,
     url: &str,
@@ -69,7 +70,8 @@
     Ok(wire::decode(&body)?)
 }
 
-/// Tells an error that came before anything was sent from the others.
+/// Returns `Unreachable` if the connection failed, so that nothing was sent, and
+/// `NoAnswer` otherwise.
 pub fn classify(error: &reqwest::Error, to: &str) -> Error {
     if error.is_connect() {
         Error::Unreachable(to.into())
@@ -78,38 +80,41 @@
     }
 }
 
-/// Returns the routes on which this node takes frames.
+/// Returns the routes on which this node receives frames.
 pub fn router(node: Arc<Node>, call: Call) -> Router {
-    Router::with_path(wire::PATH.trim_start_matches('/')).post(Take { node, call })
+    Router::with_path(wire::PATH.trim_start_matches('/')).post(FrameHandler { node, call })
 }
 
-/// Returns whether what `sender` says of a member can be believed: of itself,
-/// only the failure domain that it was confirmed to be in.
+/// Returns whether to accept a member record from `sender`. Its own record must give
+/// the failure domain that its identity was confirmed with.
 fn is_honest(member: &Member, sender: &Identity) -> bool {
     member.node != sender.node || member.domain == sender.domain
 }
 
-/// How long a peer stays away that asked for a large reply in vain.
-const BUSY: Span = Span::from_millis(300);
+/// The delay, before jitter, after which a peer may repeat a request whose large
+/// reply got no permit.
+const RETRY_DELAY: Span = Span::from_millis(300);
 
-/// Bytes of a large reply that are handed to the connection at a time.
-const PIECE: usize = 64 << 10;
+/// The size in bytes of the pieces in which a large reply is passed to the
+/// connection.
+const PIECE_BYTES: usize = 64 << 10;
 
-/// Splits a body so that leave to send it is held until nearly its end.
+/// Splits a body into pieces, so that its permit is held until most of it is sent.
 fn pieces(body: Bytes) -> Vec<std::io::Result<Bytes>> {
-    let starts = (0..body.len()).step_by(PIECE);
+    let starts = (0..body.len()).step_by(PIECE_BYTES);
     starts
-        .map(|start| Ok(body.slice(start..body.len().min(start + PIECE))))
+        .map(|start| Ok(body.slice(start..body.len().min(start + PIECE_BYTES))))
         .collect()
 }
 
-struct Take {
+/// The HTTP handler of frames.
+struct FrameHandler {
     node: Arc<Node>,
     call: Call,
 }
 
 #[salvo::async_trait]
-impl Handler for Take {
+impl Handler for FrameHandler {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let Ok(sender) = identity::of(req, &self.node.settings.security) else {
             res.status_code(::http::StatusCode::FORBIDDEN);
@@ -136,7 +141,8 @@
     }
 }
 
-impl Take {
+impl FrameHandler {
+    /// Processes a frame from `sender` and returns the reply.
     async fn reply(&self, sender: &Identity, frame: Frame) -> Result<Reply, Error> {
         let Self { node, call } = self;
         match frame {
@@ -161,33 +167,34 @@
         }
     }
 
-    /// Writes a reply. A large one needs leave until its last byte is sent;
-    /// without leave the peer is told to come back.
+    /// Writes a reply. A large one needs a permit until its last piece is passed to the
+    /// connection. If none is free, the reply asks the peer to retry later.
     fn send(&self, res: &mut Response, reply: &Reply) {
         let sent = &self.node.metrics.control_bytes;
         let mut body = wire::encode(reply);
-        let mut leave = None;
+        let mut permit = None;
         if body.len() >= wire::LARGE {
-            leave = self.node.large_replies.clone().try_acquire_owned().ok();
-            if leave.is_none() {
-                body = wire::encode(&Reply::Later(catchup::jitter(BUSY)));
+            permit = self.node.large_replies.clone().try_acquire_owned().ok();
+            if permit.is_none() {
+                body = wire::encode(&Reply::Later(catchup::jitter(RETRY_DELAY)));
             }
         }
         sent.get_or_create(&SENT).inc_by(body.len() as u64);
-        match leave {
+        match permit {
             None => {
                 res.replace_body(ResBody::Once(body));
             }
-            Some(leave) => {
+            Some(permit) => {
                 http::set(res.headers_mut(), "content-length", body.len());
                 let pieces = stream::iter(pieces(body)).inspect(move |_| {
-                    let _held = &leave;
+                    let _held = &permit;
                 });
                 http::stream(res, pieces.boxed());
             }
         }
     }
 
+    /// Returns the members that differ from the hashes `marks` of a peer's table.
     fn compare(&self, marks: &[u32]) -> Reply {
         let table = self.node.table.read();
         let members = table
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping servers.
+//! Starts and stops HTTP servers.
 
 use std::net::{SocketAddr, TcpListener};
 
@@ -16,20 +16,20 @@
     unit::Span,
 };
 
-/// An address that is held before anything serves it.
+/// A bound address whose connections are not accepted until it is served.
 #[derive(Debug)]
 pub struct Listener {
     socket: TcpListener,
-    /// The address, with the port that the system chose if none was given.
+    /// The address, with the port chosen by the operating system if none was given.
     pub address: SocketAddr,
 }
 
 impl Listener {
-    /// Returns a listener on `address`.
+    /// Returns a listener bound to `address`.
     ///
     /// # Errors
     ///
-    /// If the system refuses it.
+    /// Returns an error if the operating system refuses the address.
     pub fn bind(address: SocketAddr) -> Result<Self, Error> {
         let bind = || {
             let socket = TcpListener::bind(address)?;
@@ -40,20 +40,20 @@
         bind().map_err(|source| Error::Listen { address, source })
     }
 
-    /// Serves `router` until the handle stops it. Must be called within a
-    /// runtime; the server is a task of it.
+    /// Starts a server for `router` that runs until the returned handle stops it.
+    /// It must be called within a runtime, which runs the server as a task.
     ///
-    /// # Errors
+    /// `header_timeout` limits the time in which the whole head of the next request
+    /// must arrive on a connection, including the idle time between two requests.
     ///
-    /// If the runtime does not take the socket, or a certificate can't be
-    /// used.
+    /// # Errors
     ///
-    /// `patience` bounds how long a connection may stay without the whole head
-    /// of a next request, also between two requests.
+    /// Returns an error if the runtime does not accept the socket or a certificate
+    /// is invalid.
     pub async fn serve(
         self,
         router: Router,
-        patience: Span,
+        header_timeout: Span,
         security: &Security,
     ) -> Result<Running, Error> {
         let address = self.address;
@@ -65,14 +65,14 @@
             Security::Plaintext => Ok(run(
                 self.try_bind().await.map_err(listen)?,
                 router,
-                patience,
+                header_timeout,
             )),
             Security::Tls(tls) => {
                 let listener = RustlsListener::new(tls::server(tls)?, self);
                 Ok(run(
                     listener.try_bind().await.map_err(listen)?,
                     router,
-                    patience,
+                    header_timeout,
                 ))
             }
         }
@@ -88,46 +88,47 @@
     }
 }
 
-/// How long a connection from another node may stay unused. Longer than nodes
-/// keep them, so that it is the sender who closes: a request written just as
-/// the receiver closes would be of unknown outcome.
-pub const PEER_PATIENCE: Span = Span::from_secs(600);
+/// The time for which a connection from another node may be idle. It is longer than
+/// the idle timeout of the sending node, so that the sender closes the connection:
+/// the outcome of a request that is written just as the receiver closes would be
+/// unknown.
+pub const PEER_IDLE_TIMEOUT: Span = Span::from_secs(600);
 
-/// A server that runs.
+/// A running server.
 pub struct Running {
     handle: ServerHandle,
     task: tokio::task::JoinHandle<()>,
 }
 
 impl Running {
-    /// Takes no new connections and waits for what is in flight, at most
-    /// `patience`.
-    pub async fn stop(self, patience: std::time::Duration) {
-        self.handle.stop_graceful(patience);
-        // A server that panicked has ended, which is all that is asked.
+    /// Stops accepting connections and waits until the running requests have ended,
+    /// for at most `max_wait`.
+    pub async fn stop(self, max_wait: std::time::Duration) {
+        self.handle.stop_graceful(max_wait);
+        // The result does not matter: a server that panicked has stopped, too.
         let _ = self.task.await;
     }
 }
 
-fn run<A>(acceptor: A, router: Router, patience: Span) -> Running
+fn run<A>(acceptor: A, router: Router, header_timeout: Span) -> Running
 where
     A: Acceptor + Send + 'static,
 {
-    // A sender that never ends its headers must not hold a connection.
-    let fuse = FuseConfig::default().with_http1_header_timeout(patience.duration());
+    // A sender that never completes its headers must not occupy a connection.
+    let fuse = FuseConfig::default().with_http1_header_timeout(header_timeout.duration());
     let server = Server::new(acceptor).fuse_config(fuse);
     let handle = server.handle();
-    // Answers pass as they are: no page of the library's own is put in place
-    // of an empty one.
-    let service = Service::new(router).catcher(Catcher::new(Nothing));
+    // Prevents the library from replacing empty error answers by pages of its own.
+    let service = Service::new(router).catcher(Catcher::new(NoCatcher));
     let task = tokio::spawn(server.serve(service));
     Running { handle, task }
 }
 
-struct Nothing;
+/// A catcher that leaves answers unchanged.
+struct NoCatcher;
 
 #[salvo::async_trait]
-impl Handler for Nothing {
+impl Handler for NoCatcher {
     async fn handle(
         &self,
         _: &mut salvo::Request,
@@ -138,7 +139,7 @@
     }
 }
 
-/// Returns a router that hands every path to `handler`.
+/// Returns a router that passes requests for all paths to `handler`.
 pub fn everything(handler: impl Handler) -> Router {
     Router::with_path("{**rest}").goal(handler)
 }
--- a/src/transport/targets.rs
+++ b/src/transport/targets.rs
@@ -1,4 +1,4 @@
-//! Announcements of the targets on this host.
+//! Receives the announcements of the targets on this host.
 
 use std::{collections::HashMap, sync::Arc, time::Instant};
 
@@ -14,13 +14,14 @@
     unit::{Size, Span},
 };
 
-/// The largest announcement.
-const MAX: usize = 4096;
+/// The size in bytes of the largest announcement.
+const MAX_ANNOUNCEMENT_BYTES: usize = 4096;
 
-/// Members told at once when a target drains.
+/// The number of members that get this node's record at once when its targets change,
+/// such as when one drains.
 const TOLD: usize = 8;
 
-/// The targets on this host and until when each is believed.
+/// The targets on this host with the time at which the lease of each expires.
 pub struct Targets {
     node: Arc<Node>,
     call: Call,
@@ -28,7 +29,7 @@
 }
 
 impl Targets {
-    /// Returns an empty list for `node`.
+    /// Returns an empty set of targets for `node`.
     pub fn new(node: Arc<Node>, call: Call) -> Arc<Self> {
         Arc::new(Self {
             node,
@@ -37,7 +38,7 @@
         })
     }
 
-    /// Takes an announcement in.
+    /// Records an announcement and returns the target's new lease.
     pub async fn announce(&self, announcement: Announcement) -> Lease {
         let Announcement {
             service,
@@ -49,7 +50,7 @@
         let until = Instant::now() + lease.duration();
         {
             let mut held = self.held.lock();
-            // A drain ordered by an operator is not undone by a heartbeat.
+            // A later announcement must not undo a drain ordered by an operator.
             let ordered = held
                 .get(&service)
                 .is_some_and(|(t, _)| t.draining && t.address == address);
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Makes targets leave: the one of `service`, or all.
+    /// Drains the target of `service`, or all targets.
     pub async fn drain(&self, service: Option<&Name>) {
         for (target, _) in self.held.lock().values_mut() {
             target.draining |= service.is_none_or(|wanted| target.service == *wanted);
@@ -85,7 +86,7 @@
         self.publish().await;
     }
 
-    /// Forgets targets whose lease has lapsed, every second; never returns.
+    /// Removes targets whose lease has expired, every second. Never returns.
     pub async fn expire(self: Arc<Self>) {
         loop {
             tokio::time::sleep(Span::from_secs(1).duration()).await;
@@ -96,6 +97,8 @@
         }
     }
 
+    /// Updates the targets in this node's member record and, if they changed,
+    /// announces the record.
     async fn publish(&self) {
         let mut targets: Vec<Target> = self
             .held
@@ -122,14 +125,17 @@
     Router::with_path(PATH.trim_start_matches('/')).post(Announce(targets))
 }
 
+/// The HTTP handler of announcements.
 struct Announce(Arc<Targets>);
 
 #[salvo::async_trait]
 impl Handler for Announce {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        let max = Size::from_bytes(MAX as u64);
+        let max = Size::from_bytes(MAX_ANNOUNCEMENT_BYTES as u64);
         let pieces = http::request_pieces(req.take_body(), max, Span::from_secs(2));
-        let body = http::whole(pieces, MAX).await.unwrap_or_default();
+        let body = http::whole(pieces, MAX_ANNOUNCEMENT_BYTES)
+            .await
+            .unwrap_or_default();
         match serde_json::from_slice(&body) {
             Ok(announcement) => {
                 let lease = self.0.announce(announcement).await;
@@ -145,7 +151,7 @@
     }
 }
 
-/// Writes `value` as the answer, as JSON.
+/// Writes `value` to an answer as JSON.
 pub fn json<T: serde::Serialize>(res: &mut Response, value: &T) {
     let body = serde_json::to_vec(value).expect("plain data always encodes");
     http::set(res.headers_mut(), "content-type", "application/json");
--- a/src/transport/tls.rs
+++ b/src/transport/tls.rs
@@ -1,4 +1,4 @@
-//! Keys and certificates.
+//! TLS clients and servers, with their keys and certificates.
 
 use std::{fs, path::Path, sync::Arc};
 
@@ -13,7 +13,7 @@
     transport::{Error, http},
 };
 
-/// Returns the scheme of URLs between nodes.
+/// Returns the URL scheme for requests between nodes.
 pub fn scheme(security: &Security) -> &'static str {
     match security {
         Security::Plaintext => "http",
@@ -21,20 +21,20 @@
     }
 }
 
-/// Returns the client by which a node reaches others.
+/// Returns the HTTP client for requests to other nodes.
 ///
 /// # Errors
 ///
-/// If a key or certificate can't be used.
+/// Returns an error if a key or certificate can't be read or is invalid.
 pub fn client(settings: &Settings) -> Result<reqwest::Client, Error> {
     proven(http::mesh_client(settings), &settings.security)
 }
 
-/// Returns a client that proves who uses it, where there is TLS.
+/// Returns an HTTP client that, with TLS, presents the certificate of `security`.
 ///
 /// # Errors
 ///
-/// If a key or certificate can't be used.
+/// Returns an error if a key or certificate can't be read or is invalid.
 pub fn proven(base: reqwest::ClientBuilder, security: &Security) -> Result<reqwest::Client, Error> {
     let Security::Tls(tls) = security else {
         return Ok(base.build()?);
@@ -43,25 +43,26 @@
     for certificate in certificates(&tls.authority)? {
         roots
             .add(certificate)
-            .map_err(|error| bad(&tls.authority, error))?;
+            .map_err(|error| file_error(&tls.authority, error))?;
     }
-    let key = PrivateKeyDer::from_pem_file(&tls.key).map_err(|error| bad(&tls.key, error))?;
+    let key =
+        PrivateKeyDer::from_pem_file(&tls.key).map_err(|error| file_error(&tls.key, error))?;
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let config = ClientConfig::builder_with_provider(provider)
         .with_safe_default_protocol_versions()
-        .map_err(|error| bad(&tls.certificate, error))?
+        .map_err(|error| file_error(&tls.certificate, error))?
         .with_root_certificates(roots)
         .with_client_auth_cert(certificates(&tls.certificate)?, key)
-        .map_err(|error| bad(&tls.certificate, error))?;
+        .map_err(|error| file_error(&tls.certificate, error))?;
     Ok(base.tls_backend_preconfigured(config).build()?)
 }
 
-/// Returns a server configuration that takes only clients with a certificate
-/// of the authority.
+/// Returns a server configuration that accepts only clients with a certificate of the
+/// authority.
 ///
 /// # Errors
 ///
-/// If a file can't be read.
+/// Returns an error if a file can't be read.
 pub fn server(tls: &Tls) -> Result<RustlsConfig, Error> {
     let pair = Keycert::new()
         .cert(read(&tls.certificate)?)
@@ -70,17 +71,18 @@
 }
 
 fn certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, Error> {
-    let found = CertificateDer::pem_file_iter(path).map_err(|error| bad(path, error))?;
+    let found = CertificateDer::pem_file_iter(path).map_err(|error| file_error(path, error))?;
     found
         .collect::<Result<Vec<_>, _>>()
-        .map_err(|error| bad(path, error))
+        .map_err(|error| file_error(path, error))
 }
 
 fn read(path: &Path) -> Result<Vec<u8>, Error> {
-    fs::read(path).map_err(|error| bad(path, error))
+    fs::read(path).map_err(|error| file_error(path, error))
 }
 
-fn bad(path: &Path, error: impl std::fmt::Display) -> Error {
+/// Returns the error for a file that can't be used.
+fn file_error(path: &Path, error: impl std::fmt::Display) -> Error {
     Error::Tls {
         path: path.into(),
         what: error.to_string(),
