--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,4 +1,4 @@
-//! One daemon: its threads, put together.
+//! Starts and stops a daemon with its threads.
 
 use std::{
     sync::Arc,
@@ -29,45 +29,46 @@
         operators::{self, Desk},
         outbound::{self, Outbound},
         peers,
-        server::{self, Listener, PEER_PATIENCE, Running},
+        server::{self, Listener, PEER_IDLE_TIMEOUT, Running},
         targets::{self, Targets},
     },
 };
 
-/// Members told at once when a node leaves.
+/// The number of members that a leaving node sends its record to at once.
 const TOLD: usize = 8;
 
-/// How long the daemon goes on refusing new work, so that callers and peers
-/// learn that it leaves before its addresses are gone.
-const GOODBYE: Duration = Duration::from_millis(500);
+/// The time for which a stopping daemon still refuses new requests, so that callers and
+/// peers learn that it is leaving before its addresses are closed.
+const REFUSAL_PERIOD: Duration = Duration::from_millis(500);
 
-/// An error that keeps a daemon from starting.
+/// The reason why a daemon can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// Its servers or clients can't be made.
+    /// A server or client could not be set up.
     #[error(transparent)]
     Transport(#[from] transport::Error),
-    /// The system gives no thread or runtime.
+    /// The operating system refused a thread or runtime.
     #[error("cannot start a thread")]
     Thread(#[from] std::io::Error),
 }
 
 /// A running daemon.
 pub struct Daemon {
-    /// What its duties share.
+    /// The state that the daemon's threads share.
     pub node: Arc<Node>,
-    /// Where it listens, with the ports that the system chose.
+    /// The addresses that it listens on, with the ports chosen by the operating system.
     pub listen: Listen,
     stop: watch::Sender<bool>,
     threads: Vec<thread::JoinHandle<()>>,
 }
 
-/// The addresses as the daemon prints them when it starts.
+/// The line that the daemon prints when it starts.
 #[derive(Serialize)]
 struct Addresses<'a> {
     listen: &'a Listen,
 }
 
+/// The bound addresses of all servers.
 struct Listeners {
     callers: Listener,
     inbound: Listener,
@@ -77,18 +78,18 @@
 }
 
 impl Daemon {
-    /// Starts a daemon. It takes requests once it holds a complete view.
+    /// Starts a daemon. It accepts requests once it has a complete view.
     ///
     /// # Errors
     ///
-    /// If an address is taken, a certificate can't be used or the system
-    /// gives no threads.
+    /// Returns an error if an address is in use, a certificate is invalid or the
+    /// operating system refuses a thread.
     pub fn start(settings: Settings) -> Result<Self, Error> {
         let listeners = Listeners::bind(&settings.listen)?;
         let listen = listeners.addresses();
         let (applier, queue) = apply::channel();
         let journal = Journal::start(settings.node.as_str());
-        let me = myself(&settings, &listen);
+        let me = own_record(&settings, &listen);
         let node = Node::new(settings, me, journal, applier).shared();
         queue.run(node.clone());
         node.journal.write(
@@ -127,7 +128,7 @@
         })
     }
 
-    /// Returns the addresses as a line of JSON.
+    /// Returns the addresses as one line of JSON.
     pub fn addresses(&self) -> String {
         serde_json::to_string(&Addresses {
             listen: &self.listen,
@@ -135,14 +136,14 @@
         .expect("plain data always encodes")
     }
 
-    /// Stops the daemon: it takes no new work, finishes what it has, tells
-    /// its peers and ends its threads.
+    /// Stops the daemon: it refuses new requests, finishes the running ones, announces
+    /// to its peers that it leaves, and ends its threads.
     pub fn stop(self) {
         self.node.journal.write(Event::Stopping, format_args!(""));
         self.node.leave();
         self.stop.send_replace(true);
         for thread in self.threads {
-            // A duty that panicked has ended, which is all that is asked.
+            // The result does not matter: a thread that panicked has ended, too.
             let _ = thread.join();
         }
         self.node.journal.write(Event::Stopped, format_args!(""));
@@ -150,7 +151,8 @@
     }
 }
 
-fn myself(settings: &Settings, listen: &Listen) -> Member {
+/// Returns the initial member record of this node.
+fn own_record(settings: &Settings, listen: &Listen) -> Member {
     let since = SystemTime::UNIX_EPOCH.elapsed().unwrap_or_default();
     let (peers, inbound) = match &settings.advertise {
         Some(advertise) => (advertise.peers, advertise.inbound),
@@ -195,8 +197,8 @@
 
 type Thread = Result<thread::JoinHandle<()>, Error>;
 
-/// Starts a thread for one duty, with a runtime of its own.
-fn duty<F>(name: &str, work: F) -> Thread
+/// Starts a thread that runs `work` on a runtime of its own.
+fn start_thread<F>(name: &str, work: F) -> Thread
 where
     F: Future<Output = ()> + Send + 'static,
 {
@@ -208,12 +210,13 @@
         .spawn(move || runtime.block_on(work))?)
 }
 
+/// Waits until the daemon is being stopped.
 async fn until_stopped(mut stopped: watch::Receiver<bool>) {
-    // An error means that the daemon is gone, which is a stop too.
+    // An error means that the sender was dropped with the daemon, so stop as well.
     let _ = stopped.wait_for(|stop| *stop).await;
 }
 
-/// The duty that serves requests: outbound and inbound proxy.
+/// Starts the threads of the outbound and inbound proxies.
 fn requests(
     node: &Arc<Node>,
     callers: Listener,
@@ -231,22 +234,22 @@
         .build()?;
     let work = async move {
         let to_callers = server::everything(outbound::OutboundHandler(outbound.clone()));
-        let to_nodes = server::everything(inbound::Take(inbound.clone()));
+        let to_nodes = server::everything(inbound::InboundHandler(inbound.clone()));
         tokio::spawn(outbound.tidy());
         let settings = &leaving.settings;
-        let patience = settings.requests.header_timeout;
+        let header_timeout = settings.requests.header_timeout;
         let callers = callers
-            .serve(to_callers, patience, &Security::Plaintext)
+            .serve(to_callers, header_timeout, &Security::Plaintext)
             .await;
         let nodes = inbound_at
-            .serve(to_nodes, PEER_PATIENCE, &settings.security)
+            .serve(to_nodes, PEER_IDLE_TIMEOUT, &settings.security)
             .await;
         let (Ok(callers), Ok(nodes)) = (callers, nodes) else {
             return;
         };
         until_stopped(stopped).await;
         leaving.doors.close_all();
-        tokio::time::sleep(GOODBYE).await;
+        tokio::time::sleep(REFUSAL_PERIOD).await;
         tokio::join!(callers.stop(drain), nodes.stop(drain));
     };
     Ok(thread::Builder::new()
@@ -254,7 +257,7 @@
         .spawn(move || runtime.block_on(work))?)
 }
 
-/// The duty that answers peers, operators and announcements.
+/// Starts the thread that serves peers, operators and targets' announcements.
 fn control(
     node: &Arc<Node>,
     call: &Call,
@@ -264,27 +267,27 @@
     stopped: watch::Receiver<bool>,
 ) -> Thread {
     let (node, call) = (node.clone(), call.clone());
-    duty("control", async move {
+    start_thread("control", async move {
         let [peers_at, targets_at, operators_at] = listeners;
         let settings = &node.settings;
-        let patience = settings.requests.header_timeout;
+        let header_timeout = settings.requests.header_timeout;
         let servers: Result<Vec<Running>, _> = futures_util::future::try_join_all([
             peers_at
                 .serve(
                     peers::router(node.clone(), call.clone()),
-                    PEER_PATIENCE,
+                    PEER_IDLE_TIMEOUT,
                     &settings.security,
                 )
                 .boxed(),
             targets_at
                 .serve(
                     targets::router(targets.clone()),
-                    patience,
+                    header_timeout,
                     &Security::Plaintext,
                 )
                 .boxed(),
             operators_at
-                .serve(operators::router(desk), patience, &settings.security)
+                .serve(operators::router(desk), header_timeout, &settings.security)
                 .boxed(),
         ])
         .await;
@@ -292,16 +295,20 @@
         tokio::spawn(targets.expire());
         until_stopped(stopped).await;
         gossip::tell_at_once(&node, &call, TOLD).await;
-        tokio::time::sleep(GOODBYE).await;
-        futures_util::future::join_all(servers.into_iter().map(|server| server.stop(GOODBYE)))
-            .await;
+        tokio::time::sleep(REFUSAL_PERIOD).await;
+        futures_util::future::join_all(
+            servers
+                .into_iter()
+                .map(|server| server.stop(REFUSAL_PERIOD)),
+        )
+        .await;
     })
 }
 
-/// The duty of membership, and of a fresh node's first view.
+/// Starts the thread that maintains the membership and fetches a new node's first view.
 fn membership(node: &Arc<Node>, call: &Call, stopped: watch::Receiver<bool>) -> Thread {
     let (node, call) = (node.clone(), call.clone());
-    duty("membership", async move {
+    start_thread("membership", async move {
         tokio::spawn(follow::until_complete(node.clone(), call.clone()));
         tokio::select! {
             () = Gossip::new(node, call).run() => {}
@@ -310,10 +317,10 @@
     })
 }
 
-/// The duty that reads the log for its failure domain.
+/// Starts the thread that reads the log on behalf of the failure domain.
 fn following(node: &Arc<Node>, call: &Call, log: &Log, stopped: watch::Receiver<bool>) -> Thread {
     let follow = Follow::new(node.clone(), call.clone(), log.clone());
-    duty("follow", async move {
+    start_thread("follow", async move {
         tokio::select! {
             () = follow.run() => {}
             () = until_stopped(stopped) => {}
@@ -321,10 +328,10 @@
     })
 }
 
-/// The duty that writes snapshots.
+/// Starts the thread that writes snapshots.
 fn snapshots(node: &Arc<Node>, log: &Log, stopped: watch::Receiver<bool>) -> Thread {
     let (node, log) = (node.clone(), log.clone());
-    duty("snapshots", async move {
+    start_thread("snapshots", async move {
         tokio::select! {
             () = snapshot::keep_written(node, log) => {}
             () = until_stopped(stopped) => {}
