--- a/src/transport/operators.rs
+++ b/src/transport/operators.rs
@@ -55,7 +55,7 @@
 enum Access {
     /// Operators only.
     Operators,
-    /// Everyone, such as health checks and metrics collectors.
+    /// Everyone who can connect, such as health checks and metrics collectors.
     Everyone,
 }
 
--- a/src/transport/peers.rs
+++ b/src/transport/peers.rs
@@ -85,8 +85,8 @@
     Router::with_path(wire::PATH.trim_start_matches('/')).post(FrameHandler { node, call })
 }
 
-/// Returns whether to accept a member record from `sender`. Its own record must give
-/// the failure domain that its identity was confirmed with.
+/// Returns whether to accept a member record from `sender`. A record of the sender itself
+/// must give the failure domain that was confirmed for the sender.
 fn is_honest(member: &Member, sender: &Identity) -> bool {
     member.node != sender.node || member.domain == sender.domain
 }
--- a/src/transport/plan.rs
+++ b/src/transport/plan.rs
@@ -176,7 +176,8 @@
     }
 }
 
-/// Returns the host name that a request is addressed to, in lower case and without the port.
+/// Returns the host name that a request is addressed to, in lower case and without the
+/// port.
 fn host(req: &Request) -> Option<String> {
     let host = http::get(req.headers(), "host").or_else(|| req.uri().host())?;
     let end = host
