--- a/standins/examples/experiment.rs
+++ b/standins/examples/experiment.rs
@@ -1,10 +1,10 @@
-//! Replays loads on the decisions and shows what their callers get.
+//! Replays loads on rilltrack's decisions and prints the results for callers.
 //!
 //!     cargo run --release -p rilltrack-standins --example experiment -- \
 //!         standins/examples/loads/many-senders.jsonc --json before.json
 //!
-//! To weigh a change, run it before with `--json before.json` and after with
-//! `--against before.json`: the difference is taken seed by seed.
+//! To evaluate a change, run it before the change with `--json before.json` and after it with
+//! `--against before.json`: the difference is computed for each seed.
 
 use std::{collections::BTreeMap, path::PathBuf, process::ExitCode, thread};
 
@@ -30,10 +30,10 @@
     against: Option<PathBuf>,
 }
 
-/// The worth of each seed, by variant.
+/// The worth of each seed's replay, by variant.
 type Worths = BTreeMap<String, Vec<f64>>;
 
-/// Student's t for a 95% interval grows for few seeds; from 8 on it is near this.
+/// Student's t for a 95% interval: about this value from 8 seeds on, larger for fewer.
 const T95: f64 = 2.3;
 
 fn main() -> ExitCode {
@@ -72,12 +72,12 @@
     Ok(())
 }
 
-/// Replays a load with each seed, on all processors; in the order of the seeds.
+/// Replays a load with each seed, on all processors; returns the results in seed order.
 fn replay(load: &Load, seeds: u64, bar: &ProgressBar) -> Vec<Figures> {
-    let at_once = thread::available_parallelism().map_or(1, usize::from);
+    let parallelism = thread::available_parallelism().map_or(1, usize::from);
     let seeds: Vec<u64> = (1..=seeds).collect();
     let mut figures = Vec::with_capacity(seeds.len());
-    for some in seeds.chunks(at_once) {
+    for batch in seeds.chunks(parallelism) {
         figures.extend(thread::scope(|scope| {
             let replay = |seed| {
                 scope.spawn(move || {
@@ -86,7 +86,7 @@
                     figures
                 })
             };
-            let threads: Vec<_> = some.iter().copied().map(replay).collect();
+            let threads: Vec<_> = batch.iter().copied().map(replay).collect();
             let join = |thread: thread::ScopedJoinHandle<'_, _>| {
                 thread.join().expect("a replay does not panic")
             };
@@ -96,6 +96,7 @@
     figures
 }
 
+/// Prints the worth of a variant and the results of each kind of request.
 fn show(name: &str, figures: &[Figures], worth: &[f64], former: Option<&Vec<f64>>) {
     let mut sorted = worth.to_vec();
     sorted.sort_by(f64::total_cmp);
@@ -126,7 +127,7 @@
     }
 }
 
-/// Returns the mean difference of pairs, and half of its 95% interval.
+/// Returns the mean of the paired differences, and half the width of its 95% interval.
 fn difference(before: &[f64], after: &[f64]) -> (f64, f64) {
     let differences: Vec<f64> = before.iter().zip(after).map(|(b, a)| a - b).collect();
     let count = differences.len().max(1) as f64;
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A small fleet of host processes on loopback.
+//! A small fleet of nodes on loopback, within the test's process.
 
 use std::{
     net::{IpAddr, Ipv4Addr, SocketAddr},
@@ -27,22 +27,23 @@
 const READY: u16 = 7005;
 const METRICS: u16 = 7006;
 
-/// One host: its address, and the process on it while it runs.
+/// A simulated host: its address, its target, and its node while that runs.
 pub struct Host {
     pub name: String,
+    /// The service of its target.
     pub service: String,
     pub ip: IpAddr,
     pub target: Target,
     /// The release of its target.
     pub release: String,
     process: Option<Process>,
-    /// The store, as this host reaches it.
+    /// The store, at an address for this host alone.
     pub store: Store,
     domain: String,
 }
 
-/// An address that no other test of this or another run uses: by process and
-/// count within it.
+/// Returns an address that no concurrent test uses: made of the process id and a count
+/// within the process.
 fn fresh_ip() -> IpAddr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let id = std::process::id();
@@ -51,7 +52,7 @@
 }
 
 impl Host {
-    /// Starts a host with a target of `service` that has announced itself.
+    /// Starts a host and its node; its target, of `service`, has sent a heartbeat.
     pub async fn start(store: &Store, name: &str, domain: &str, service: &str) -> Self {
         let mut host = Self::stopped(store, name, domain, service).await;
         host.run();
@@ -60,7 +61,7 @@
         host
     }
 
-    /// Returns a host on which no process runs yet.
+    /// Returns a host whose node isn't started yet.
     pub async fn stopped(store: &Store, name: &str, domain: &str, service: &str) -> Self {
         Self {
             name: name.into(),
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Starts the process.
+    /// Starts the node.
     pub fn run(&mut self) {
         let at = |port| SocketAddr::new(self.ip, port);
         let settings = json!({
@@ -96,8 +97,9 @@
             acknowledgement: heartbeat::ACKNOWLEDGEMENT.into(),
             dialect: request::dialect(),
         };
-        // A process that is stopped in here goes on for a moment with what holds nothing: its
-        // listeners for questions and metrics close once their thread sees that it ended.
+        // Retried while an address is in use: after a stop within this process, the listeners
+        // of the control thread (for peers and metrics, for example) close only once that thread
+        // has noticed the stop.
         let process = loop {
             let store = store::store(self.store.address);
             match Process::start(settings.clone(), store, words.clone()) {
@@ -113,7 +115,7 @@
         self.process = Some(process);
     }
 
-    /// Stops the process in good order.
+    /// Stops the node gracefully.
     pub async fn stop(&mut self) {
         if let Some(process) = self.process.take() {
             tokio::task::spawn_blocking(|| process.stop())
@@ -122,33 +124,35 @@
         }
     }
 
+    /// Returns the version of the routes that is in force.
     pub fn version(&self) -> u64 {
         self.process.as_ref().unwrap().host.version()
     }
 
-    /// Returns the stage of the latest roll-out of a service, as this host knows it.
+    /// Returns the stage of a service's latest roll-out, as known to this node.
     pub fn rollout(&self, service: &str) -> Option<String> {
         let rollouts = self.process.as_ref().unwrap().host.rollouts.all();
         let rollout = rollouts.iter().find(|r| r.service.as_str() == service)?;
         Some(format!("{:?}", rollout.stage))
     }
 
-    /// Returns whether it reads the store for its failure domain.
+    /// Returns whether the node is a reader of the store for its failure domain.
     pub fn reads(&self) -> bool {
         *self.process.as_ref().unwrap().host.reading().borrow()
     }
 
-    /// Returns whether it is to read the store and can't.
+    /// Returns whether the node is a reader of the store and its reads fail.
     pub fn is_blind(&self) -> bool {
         self.process.as_ref().unwrap().host.seen().blind > 0
     }
 
-    /// Returns the part of what its target runs now that another target has seen before.
+    /// Returns the share of its target's running requests that are repeats: requests that
+    /// a target has already seen.
     pub fn repeats(&self) -> f64 {
         self.process.as_ref().unwrap().host.gate.repeats()
     }
 
-    /// Returns how many first sends for a service count as calls of repeats here.
+    /// Returns how many first sends for a service this node counts as calls of repeats.
     pub fn carried(&self, service: &str) -> f64 {
         let allowance = self.process.as_ref().unwrap().host.allowance.lock();
         let mut all = allowance.all(1, std::time::Instant::now());
@@ -156,13 +160,14 @@
         found.map_or(0.0, |(_, used)| used.carried)
     }
 
-    /// Returns whether this host knows a ready target on the named one.
+    /// Returns whether this node knows a target on host `other` that isn't draining.
     pub fn knows(&self, other: &str) -> bool {
         let members = self.process.as_ref().unwrap().host.members.read();
         let member = members.get(&other.parse().unwrap());
         member.is_some_and(|member| member.targets.iter().any(|t| !t.draining))
     }
 
+    /// Waits until the node's readiness check returns 200.
     pub async fn until_ready(&self) {
         until("ready", async || {
             self.ready().await.starts_with("HTTP/1.1 200")
@@ -170,22 +175,23 @@
         .await;
     }
 
+    /// Returns the answer to the node's readiness check.
     pub async fn ready(&self) -> String {
         ready(self.ready_address()).await
     }
 
-    /// Returns where the platform asks whether it is ready.
+    /// Returns the address of the node's readiness check.
     pub fn ready_address(&self) -> SocketAddr {
         (self.ip, READY).into()
     }
 
-    /// Sends what the target says of itself; returns the answer.
+    /// Sends a heartbeat of the target; returns the answer.
     ///
-    /// An `instance` of the form `ID@BORN` says when it started.
+    /// An `instance` of the form `ID@BORN` includes the start time.
     pub async fn heartbeat(&self, instance: &str, sequence: u64, state: &str) -> String {
         let body = self.heartbeat_body(instance, sequence, state);
-        let life = Instance::from(instance);
-        let instance = life.id();
+        let instance = Instance::from(instance);
+        let instance = instance.id();
         self.tell(
             &format!("/api/instances/{instance}/heartbeat"),
             &body.to_string(),
@@ -193,7 +199,7 @@
         .await
     }
 
-    /// Returns the body of such a call.
+    /// Returns the body of a heartbeat.
     pub fn heartbeat_body(&self, instance: &str, sequence: u64, state: &str) -> Value {
         let mut body = json!({
             "address": self.target.address,
@@ -206,12 +212,13 @@
         body
     }
 
+    /// Sends a leave of the target; returns the answer.
     pub async fn deregister(&self, instance: &str) -> String {
         self.tell(&format!("/api/instances/{instance}/deregister"), "")
             .await
     }
 
-    /// Makes a call as the target does.
+    /// Sends a POST to the node's listener for targets; returns the answer.
     pub async fn tell(&self, path: &str, body: &str) -> String {
         let length = body.len();
         let call = format!(
@@ -221,7 +228,7 @@
         raw::until_closed((self.ip, TARGETS).into(), call.as_bytes()).await
     }
 
-    /// Returns the contents that it holds back, as an operator sees them.
+    /// Returns the quarantined contents, as the node reports them to an operator.
     pub async fn held(&self) -> Vec<String> {
         let ask = "GET /held HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
         let answer = raw::until_closed(self.peers(), ask.as_bytes()).await;
@@ -231,7 +238,7 @@
         held.iter().map(content).collect()
     }
 
-    /// Lets a content go as an operator does; returns the status.
+    /// Releases a content from quarantine, as an operator does; returns the status.
     pub async fn let_go(&self, content: &str) -> String {
         let body = format!("\"{content}\"");
         let length = body.len();
@@ -243,11 +250,12 @@
         answer.get(9..12).unwrap_or_default().to_owned()
     }
 
-    /// Sends a caller's request with a body; returns the answer.
+    /// Sends a caller's request with a deadline of 60 s; returns the answer.
     pub async fn ask(&self, method: &str, path: &str, id: &str, body: &str) -> String {
         self.ask_within(method, path, id, body, 60_000).await
     }
 
+    /// Sends a caller's request with a deadline in milliseconds; returns the answer.
     pub async fn ask_within(
         &self,
         method: &str,
@@ -265,22 +273,23 @@
         raw::until_closed((self.ip, CALLERS).into(), request.as_bytes()).await
     }
 
-    /// Returns where other nodes, and operators, ask it.
+    /// Returns the address of the node's listener for peers and operators.
     pub fn peers(&self) -> SocketAddr {
         (self.ip, PEERS).into()
     }
 
-    /// Returns where other nodes send requests for its target.
+    /// Returns the address of the node's listener for requests that peers forward.
     pub fn inbound(&self) -> SocketAddr {
         (self.ip, INBOUND).into()
     }
 
+    /// Returns the address of the node's listener for callers.
     pub fn callers(&self) -> SocketAddr {
         (self.ip, CALLERS).into()
     }
 }
 
-/// Returns the answer to the question whether the node with this address is ready.
+/// Returns the answer to a readiness check at `address`, or `no listener`.
 pub async fn ready(address: SocketAddr) -> String {
     let Ok(stream) = tokio::net::TcpStream::connect(address).await else {
         return "no listener".into();
@@ -290,7 +299,8 @@
     raw::until_closed(address, check.as_bytes()).await
 }
 
-/// A version with an idempotent route to each service and one that runs once.
+/// Returns a version with two routes for each service: an idempotent one and one whose
+/// requests run at most once.
 pub fn version(number: u64, services: &[&str]) -> Value {
     let mut resources = vec![json!({
         "resourceType": "limits", "metadata": {},
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins of the platform: its store, targets, a small fleet on loopback, and a model
-//! of load over a virtual clock.
+//! Stand-ins for the platform: its store, targets, a fault-injecting proxy, a small fleet of
+//! nodes on loopback, and a model of load over a virtual clock.
 
 pub mod fleet;
 pub mod load;
@@ -12,20 +12,24 @@
 
 use std::time::{Duration, Instant};
 
-/// Waits until `check` holds. The limit only ends a test that hangs: it is far
-/// beyond what any step takes, so no verdict depends on timing.
+/// Waits until `check` returns true. The 60 s limit only ends a test that hangs: no step
+/// takes nearly as long, so no test result depends on timing.
+///
+/// # Panics
+///
+/// If `check` is still false after 60 s.
 pub async fn until(what: &str, mut check: impl AsyncFnMut() -> bool) {
     let since = Instant::now();
     while !check().await {
         assert!(
             since.elapsed() < Duration::from_secs(60),
-            "never came: {what}"
+            "timed out after 60 s waiting for: {what}"
         );
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
-/// Names each case: a test over processes, on several threads.
+/// Defines each case as an async test on a multi-threaded runtime.
 #[macro_export]
 macro_rules! cases {
     ($($name:ident => $body:block)*) => {
--- a/standins/src/load/figures.rs
+++ b/standins/src/load/figures.rs
@@ -1,66 +1,66 @@
-//! What a replay gave.
+//! The results of a replay.
 
 use std::time::Duration;
 
 use rilltrack::coordination::decision::allowance::Rule;
 
-/// What became of the requests of one replay.
+/// The results of one replay.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Figures {
-    /// For each kind, in the order of the load.
+    /// The results of each kind of request, in the order of the load.
     pub kinds: Vec<Count>,
-    /// Requests that each target ran, by service.
+    /// The number of requests that each target ran, by service.
     pub runs: Vec<Vec<u32>>,
-    /// Sends to targets beyond the first of each request, by service.
+    /// The number of retries of requests that had arrived at a target before, by service.
     pub repeats: Vec<u32>,
-    /// What was asked of each service, and what its targets saw more than once.
+    /// Arrivals of requests and of repeats, by service.
     pub arrivals: Vec<Arrivals>,
 }
 
-/// What was asked of a service and what came to its targets, by time from the start.
+/// The requests for a service and the repeats at its targets, as times from the start.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Arrivals {
-    /// Requests, a caller's own retries among them.
+    /// Requests of callers, including their own retries.
     pub requests: Vec<Duration>,
-    /// Arrivals beyond the first of each request, with all calls of runs that were repeats.
+    /// Arrivals beyond the first of each request, including all calls that repeats made.
     pub further: Vec<Duration>,
 }
 
-/// What became of the requests of one kind.
+/// The results of one kind of request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Count {
-    /// Requests, each counted once however often its caller came back.
+    /// Requests; each counts once, whatever the number of its caller's retries.
     pub asked: u32,
-    /// Answered within the objective, from the first try.
+    /// Answered within the objective, measured from the caller's first attempt.
     pub in_time: u32,
-    /// Answered later.
+    /// Answered after the objective and before the deadline.
     pub late: u32,
-    /// Refused in the end.
+    /// Refused, with no retry of the caller left.
     pub refused: u32,
-    /// Failed: the target or one of its calls did.
+    /// Failed: the target or one of its calls failed, or the deadline passed.
     pub failed: u32,
-    /// Nodes that were asked for room.
+    /// Attempts that were offered to nodes.
     pub offers: u32,
-    /// What was earned.
+    /// The sum of the worth of all answers.
     pub earned: f64,
-    /// What could have been earned.
+    /// The sum of worth if all requests were answered in time.
     pub owed: f64,
-    /// How long the answered ones took.
+    /// The latencies of answered requests.
     pub took: Took,
 }
 
-/// How long requests took, from the first try of each.
+/// The latencies of requests, measured from each caller's first attempt.
 #[derive(Clone, Default, PartialEq)]
 pub struct Took(Vec<Duration>);
 
 impl Figures {
-    /// Returns what was earned of what could have been.
+    /// Returns the earned share of the possible worth.
     pub fn worth(&self) -> f64 {
         let sum = |of: fn(&Count) -> f64| self.kinds.iter().map(of).sum::<f64>();
         sum(|count| count.earned) / sum(|count| count.owed).max(f64::MIN_POSITIVE)
     }
 
-    /// Returns what the busiest target of a service ran, over the mean.
+    /// Returns the runs of a service's busiest target, relative to the mean of its targets.
     pub fn busiest(&self, service: usize) -> f64 {
         let runs = &self.runs[service];
         let mean = f64::from(runs.iter().sum::<u32>()) / runs.len() as f64;
@@ -69,8 +69,9 @@
 }
 
 impl Arrivals {
-    /// Returns the further arrivals in the worst window, and what `rule` allows there: a share
-    /// of the requests in that window or the one before it.
+    /// Returns the further arrivals in the window that uses most of its limit, and the limit:
+    /// `rule`'s ratio of the requests in that window or the one before it, whichever has more,
+    /// plus its slack.
     pub fn worst(&self, rule: Rule) -> (usize, f64) {
         let within = |times: &[Duration], from: Duration, until: Duration| {
             let before = |end| times.partition_point(|at| *at < end);
@@ -92,19 +93,19 @@
 }
 
 impl Count {
-    /// Returns the part of the requests for which `count` stands.
+    /// Returns `count` as a share of the requests.
     pub fn share(&self, count: u32) -> f64 {
         f64::from(count) / f64::from(self.asked.max(1))
     }
 }
 
 impl Took {
-    /// Notes one more.
+    /// Adds a latency.
     pub fn note(&mut self, took: Duration) {
         self.0.push(took);
     }
 
-    /// Returns the time within which this part of them came; zero if there are none.
+    /// Returns the latency at quantile `part`; zero without latencies.
     pub fn quantile(&self, part: f64) -> Duration {
         let mut sorted = self.0.clone();
         sorted.sort_unstable();
@@ -114,13 +115,13 @@
     }
 }
 
-/// A few quantiles: a replay has tens of thousands.
+/// Prints two quantiles only, since a replay has tens of thousands of latencies.
 impl std::fmt::Debug for Took {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let [half, most] = [0.5, 0.99].map(|part| self.quantile(part));
+        let [median, p99] = [0.5, 0.99].map(|part| self.quantile(part));
         write!(
             f,
-            "{} of {half:?} at the median, {most:?} at p99",
+            "{} of {median:?} at the median, {p99:?} at p99",
             self.0.len()
         )
     }
--- a/standins/src/load/file.rs
+++ b/standins/src/load/file.rs
@@ -1,4 +1,4 @@
-//! Loads as files: JSON with comments.
+//! Load files: JSON with comments.
 
 use std::time::Duration;
 
@@ -11,12 +11,12 @@
 
 use super::{Calls, Harm, Kind, Load, Service, Trouble};
 
-/// What is replayed, and how often.
+/// The loads of a file and the number of seeds to replay them with.
 #[derive(Clone, Debug)]
 pub struct Experiment {
-    /// Loads by name, in the order of the file.
+    /// The loads with their names, in the order of the file.
     pub variants: Vec<(String, Load)>,
-    /// Seeds that each is replayed with.
+    /// The number of seeds that each load is replayed with.
     pub seeds: u64,
 }
 
@@ -42,7 +42,7 @@
     speeds: Vec<f64>,
     #[serde(default)]
     cold: Option<Cold>,
-    /// What the link of each host carries, in Mbit/s; 0 bounds nothing.
+    /// The bandwidth of each host's link, in Mbit/s; 0 means no limit.
     #[serde(default)]
     bandwidth: u32,
 }
@@ -58,12 +58,12 @@
 #[serde(deny_unknown_fields)]
 struct KindEntry {
     service: usize,
-    /// None for requests that only targets send.
+    /// Zero for requests that only targets send.
     #[serde(default)]
     per_s: f64,
     #[serde(default)]
     once: bool,
-    #[serde(default = "ordinary")]
+    #[serde(default = "normal_priority")]
     priority: u8,
     work: Span,
     spread: f64,
@@ -93,10 +93,10 @@
 #[serde(deny_unknown_fields)]
 struct Variant {
     name: String,
-    /// Times the rates of the file.
-    #[serde(default = "once")]
+    /// A factor on the rates of the file.
+    #[serde(default = "unchanged_rate")]
     rate: f64,
-    /// In place of the file's.
+    /// Overrides the file's value, as does `length`.
     warm_up: Option<Span>,
     length: Option<Span>,
     #[serde(default)]
@@ -121,20 +121,20 @@
     Slows(f64),
 }
 
-const fn ordinary() -> u8 {
+const fn normal_priority() -> u8 {
     1
 }
 
-const fn once() -> f64 {
+const fn unchanged_rate() -> f64 {
     1.0
 }
 
 impl Experiment {
-    /// Takes an experiment out of a document.
+    /// Decodes an experiment.
     ///
     /// # Errors
     ///
-    /// The first field that can't be used, with its line.
+    /// If a field is invalid; the error names the first such field and its line.
     pub fn from_document(document: &Document) -> Result<Self, Fault> {
         let file: File = document.decode(&[], &document.value)?;
         check(document, &file)?;
@@ -146,7 +146,7 @@
     }
 }
 
-/// Checks what the types do not.
+/// Checks what the types don't guarantee.
 fn check(document: &Document, file: &File) -> Result<(), Fault> {
     let is = |holds: bool, path: &[&str], what: &str| match holds {
         true => Ok(()),
--- a/standins/src/load/fleet.rs
+++ b/standins/src/load/fleet.rs
@@ -1,4 +1,4 @@
-//! The nodes of a replay, each with the decisions of its own.
+//! The nodes of a replay, each with its own decision state.
 
 use std::{
     net::SocketAddr,
@@ -19,25 +19,26 @@
 
 use super::{Harm, Load};
 
-/// A host: the node, and the target beside it.
+/// A host: the state of its node and of its target.
 pub struct Host {
     pub member: Arc<Member>,
     pub domain: usize,
     pub service: usize,
-    /// Its place among the targets of its service.
+    /// The index of its target within the service.
     pub index: usize,
+    /// The relative speed of its target; 2 halves the run time.
     pub speed: f64,
     pub balance: Balance,
     pub queue: Queue<usize>,
     pub runs: Runs,
     pub line: Line,
-    /// When its link has carried all that was let in, from the start of the load.
+    /// When its link will have carried all admitted bodies, from the start of the load.
     pub free: Duration,
     pub allowance: Allowance,
     pub ages: Ages,
 }
 
-/// All hosts.
+/// All hosts and services, and the member table that every node uses.
 pub struct Fleet {
     pub hosts: Vec<Host>,
     pub table: Table,
@@ -45,6 +46,7 @@
 }
 
 impl Fleet {
+    /// Returns the fleet of a load in its initial state.
     pub fn new(load: &Load) -> Self {
         let domains: Vec<_> = (0..load.domains).map(|i| name("d", i)).collect();
         let services: Vec<_> = (0..load.services.len()).map(|i| name("s", i)).collect();
@@ -64,7 +66,8 @@
                     domain,
                     service,
                     index,
-                    // By turns within a domain, so that all domains have all speeds.
+                    // Assigned in turn within a failure domain, so that each domain has all
+                    // speeds.
                     speed: of.speeds[(index / load.domains) % of.speeds.len()],
                     balance: Balance::default(),
                     queue,
@@ -83,7 +86,7 @@
         }
     }
 
-    /// Returns the host of a member.
+    /// Returns the index of a member's host.
     pub fn number(&self, member: &Member) -> usize {
         let number = member.node.as_str().trim_start_matches('n');
         number.parse().expect("nodes are numbered by `member`")
@@ -91,7 +94,7 @@
 }
 
 impl Host {
-    /// Returns what harms its target now.
+    /// Returns the faults of its target at time `at`.
     pub fn harms<'a>(&'a self, load: &'a Load, at: Duration) -> impl Iterator<Item = Harm> + 'a {
         load.troubles.iter().filter_map(move |trouble| {
             let harmed = trouble.share * load.services[self.service].targets as f64;
@@ -100,7 +103,7 @@
         })
     }
 
-    /// Returns how long the target runs work of so long.
+    /// Returns the time that the target takes at time `at` for `work`.
     pub fn runs(&self, load: &Load, work: Duration, at: Duration) -> Duration {
         let service = &load.services[self.service];
         let mut factor = if at < service.cold {
@@ -117,7 +120,7 @@
     }
 }
 
-/// The first moment of a replay; only what passes since matters.
+/// Returns the instant at which a replay starts; only times relative to it matter.
 pub fn origin() -> Instant {
     Instant::now()
 }
--- a/standins/src/load/mod.rs
+++ b/standins/src/load/mod.rs
@@ -1,13 +1,13 @@
 //! A model of load: callers, nodes and targets over a virtual clock.
 //!
-//! It replays a load on the product's own decisions: each node has its
-//! [`Balance`], its [`Queue`] and its [`Allowance`], and each request its [`Tries`]; none
-//! of them is written again here. There are no processes, sockets or threads, and the
-//! same seed gives the same figures to the last digit.
+//! It replays a load on the decisions of rilltrack itself: each node has its
+//! [`Balance`], its [`Queue`] and its [`Allowance`], and each request its [`Tries`]; the model
+//! doesn't reimplement them. There are no processes, sockets or threads, and a replay is
+//! deterministic: the same seed gives identical figures.
 //!
-//! What it leaves out: processors, memory, the store and versions; and of links what small
-//! messages wait for behind large bodies.
-//! So it shows what a decision is worth, never what it costs a host.
+//! Not modelled are processors, memory, the store, versions, and the delay of small messages
+//! behind large bodies on a link. The model therefore shows the effect of a decision on
+//! requests, not its cost on a host.
 //!
 //! ```
 //! use rilltrack_standins::load::{Kind, Load, Service, run};
@@ -39,131 +39,131 @@
 pub use figures::{Arrivals, Count, Figures, Took};
 pub use file::Experiment;
 
-/// The window of what may be sent again.
+/// The window of the limit on retries.
 const RESEND_WINDOW: Duration = Duration::from_secs(10);
 
-/// What is replayed.
+/// A load to replay.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// Failure domains. Targets and callers are spread over them evenly.
+    /// The number of failure domains. Targets and callers are spread over them evenly.
     pub domains: usize,
-    /// What there is to serve.
+    /// The services.
     pub services: Vec<Service>,
-    /// What is asked for.
+    /// The kinds of request.
     pub kinds: Vec<Kind>,
-    /// What goes wrong.
+    /// The faults of targets.
     pub troubles: Vec<Trouble>,
-    /// How long callers send.
+    /// The time for which callers send requests.
     pub length: Duration,
-    /// How long until requests count: nodes know nothing at first.
+    /// The time before requests count: at first, nodes have no measurements.
     pub warm_up: Duration,
-    /// The time of a message within a failure domain.
+    /// The one-way delay of a message within a failure domain.
     pub near: Duration,
-    /// The time of a message to another one.
+    /// The one-way delay of a message to another failure domain.
     pub far: Duration,
-    /// What the fleet may send again over what it sends.
+    /// The limit on the fleet's retries, as a ratio of its requests.
     pub resend_ratio: f64,
-    /// What it may send again besides, in ten seconds.
+    /// The number of retries allowed in ten seconds, in addition to the ratio.
     pub resend_slack: f64,
-    /// When large bodies cross links.
+    /// When a large body crosses its link.
     pub crossing: Crossing,
 }
 
 /// A service and its targets, each on a host of its own.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// Targets.
+    /// The number of targets.
     pub targets: usize,
-    /// Requests that each runs at a time.
+    /// The number of requests that each target runs concurrently.
     pub slots: u32,
-    /// How fast they are, in turn; 1 takes as long as the work says.
+    /// The relative speeds of the targets, assigned in turn; at 1, a run takes its work time.
     pub speeds: Vec<f64>,
-    /// How long a target is slower after its start.
+    /// The time for which a target is slower after its start.
     pub cold: Duration,
-    /// How much longer it takes then.
+    /// The factor on run times during that time.
     pub cold_factor: f64,
-    /// What the link of each target's host carries, in Mbit/s; 0 bounds nothing.
+    /// The bandwidth of the link of each target's host, in Mbit/s; 0 means no limit.
     pub bandwidth: u32,
 }
 
 /// A kind of request: one route.
 #[derive(Clone, Debug)]
 pub struct Kind {
-    /// The index of the service that it goes to.
+    /// The index of its service.
     pub service: usize,
-    /// Requests a second; 0 for one that only targets send.
+    /// The rate, in requests a second; 0 for a kind that only targets send.
     pub per_s: f64,
-    /// Whether it may run more than once.
+    /// Whether it is idempotent or may run at most once.
     pub kind: routing::Kind,
-    /// Its rank; 0 goes first.
+    /// The priority; 0 is the highest.
     pub priority: u8,
-    /// The mean time that it runs.
+    /// The mean run time.
     pub work: Duration,
-    /// How the time varies: the standard deviation over the mean.
+    /// The coefficient of variation of the run time: standard deviation over mean.
     pub spread: f64,
-    /// When it should be answered.
+    /// The time within which it should be answered.
     pub objective: Duration,
-    /// When its caller leaves.
+    /// The time after which its caller stops waiting.
     pub deadline: Duration,
-    /// What an answer in time is worth.
+    /// The worth of an answer within the objective.
     pub worth: f64,
-    /// The part of it that a later one is worth.
+    /// The share of the worth that a later answer has.
     pub late: f64,
-    /// How often its caller comes back after a refusal.
+    /// The number of times that its caller retries after a refusal.
     pub retries: u32,
-    /// What its run asks for at its start.
+    /// The requests that its target sends at the start of a run.
     pub calls: Option<Calls>,
-    /// The mean size of its body, in bytes; only large ones take a part of a link.
+    /// The size of its body, in bytes; only large bodies take link bandwidth.
     pub body: usize,
 }
 
 /// When a large body crosses the link to its target.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Crossing {
-    /// Before the request has a slot, where the link can carry it in time.
+    /// Before the request has a slot, if the link can carry it in time.
     #[default]
     First,
-    /// Once it has one, which it keeps meanwhile.
+    /// While the request occupies its slot.
     InSlot,
 }
 
-/// Requests that a target makes amid one.
+/// Requests that a target sends while it runs a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Calls {
     /// The index of their kind.
     pub kind: usize,
-    /// How many are made together.
+    /// The number of requests that are sent together.
     pub times: u32,
-    /// The part of the runs that makes them.
+    /// The share of the runs that send them.
     pub share: f64,
 }
 
-/// Something that goes wrong at a part of a service's targets.
+/// A fault at a share of a service's targets.
 #[derive(Clone, Debug)]
 pub struct Trouble {
     /// The index of the service.
     pub service: usize,
-    /// The part of its targets.
+    /// The share of its targets that have the fault.
     pub share: f64,
-    /// From when until when, from the start of the load.
+    /// The time range of the fault, from the start of the load.
     pub during: Range<Duration>,
-    /// What goes wrong.
+    /// The fault.
     pub what: Harm,
 }
 
-/// What goes wrong at a target.
+/// A fault of a target.
 #[derive(Clone, Copy, Debug)]
 pub enum Harm {
-    /// It refuses this part of what it gets, and says that it has not run.
+    /// It rejects this share of its requests and reports that they didn't run.
     Sheds(f64),
-    /// It fails this part of what it runs.
+    /// It fails this share of its runs.
     Fails(f64),
-    /// It takes so many times as long.
+    /// Its run times are multiplied by this factor.
     Slows(f64),
 }
 
 impl Load {
-    /// Returns what the fleet may send again.
+    /// Returns the limit on the fleet's retries.
     pub fn rule(&self) -> Rule {
         Rule {
             ratio: self.resend_ratio,
@@ -224,7 +224,7 @@
     }
 }
 
-/// Replays a load; the same `seed` gives the same figures.
+/// Replays a load and returns its results; the same `seed` gives identical results.
 pub fn run(load: &Load, seed: u64) -> Figures {
     model::Model::new(load, seed).run()
 }
--- a/standins/src/load/model.rs
+++ b/standins/src/load/model.rs
@@ -1,4 +1,4 @@
-//! The event queue of a replay.
+//! The event loop of a replay.
 
 use std::{
     cmp::Reverse,
@@ -24,16 +24,16 @@
     fleet::{Fleet, origin},
 };
 
-/// The reason of a refusal at a gate.
+/// The reason of a refusal by a target's queue.
 const FULL: &str = "target is full";
 
-/// When a target that sheds asks to come back.
+/// The retry delay that a target asks for when it sheds a request.
 const SHED_AGAIN: Span = Span::from_millis(200);
 
-/// Targets that may see a request.
+/// The maximum number of targets that may receive a request.
 const ATTEMPTS: u32 = 2;
 
-/// A replay under way.
+/// The state of a replay.
 pub struct Model<'a> {
     load: &'a Load,
     fleet: Fleet,
@@ -49,43 +49,44 @@
 
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Event {
-    /// A caller sends a request of this kind, and the next one is planned.
+    /// A caller sends a request of this kind; the next one is scheduled.
     Send(usize),
-    /// A request comes to its node, for the first time or again.
+    /// A request arrives at its caller's node, for the first time or as the caller's retry.
     Begin(usize),
-    /// Its head comes to the host that was chosen.
+    /// The head of a request arrives at the chosen host.
     Reach(usize),
-    /// Its body has crossed that host's link.
+    /// The body of a request has crossed the chosen host's link.
     Crossed(usize),
-    /// It has waited as long as it may.
+    /// The maximum wait in the queue is over, for a request and its attempt's number.
     GiveUp(usize, u32),
-    /// Its run ends.
+    /// The run of a request ends.
     Done(usize),
-    /// Its node hears how the try ended.
+    /// The result of an attempt arrives at the caller's node.
     Return(usize),
 }
 
 struct Request {
     kind: usize,
-    /// The host that its caller asked.
+    /// The host of the node that its caller sent it to.
     home: usize,
-    /// When its caller first tried.
+    /// When its caller sent it first.
     first: Duration,
     begun: Duration,
     due: Instant,
     deadline: Duration,
-    /// An answer is whether it tells of a fault.
+    /// Its attempts; an answer is represented by whether it is a fault.
     tries: Tries<bool>,
-    /// Tries of the caller that are left.
+    /// The caller's remaining retries.
     retries: u32,
+    /// The request whose run sent this one.
     parent: Option<usize>,
     /// Whether it is a call of a run that is itself a repeat.
     is_call_of_repeat: bool,
-    /// How likely that is, as far as its node can tell.
+    /// The probability of that, as estimated by its node.
     carried: f64,
-    /// The host that was chosen last.
+    /// The host of the latest attempt.
     at: usize,
-    /// The try that is under way, counted over all returns.
+    /// The number of attempts so far, over all retries of the caller.
     count: u32,
     sent: Duration,
     place: Option<Place>,
@@ -96,7 +97,7 @@
 }
 
 impl Request {
-    /// Returns whether its run at the host that was chosen last is a repeat.
+    /// Returns whether its run at the host of the latest attempt is a repeat.
     fn is_repeat(&self) -> bool {
         self.is_call_of_repeat || self.tries.arrivals > 0
     }
@@ -104,7 +105,7 @@
 
 impl<'a> Model<'a> {
     pub fn new(load: &'a Load, seed: u64) -> Self {
-        // The decisions draw from the generator of their thread.
+        // The decisions draw from the thread-local generator.
         fastrand::seed(seed);
         let mut figures = Figures::default();
         figures
@@ -165,7 +166,7 @@
         self.origin + self.now
     }
 
-    /// Plans the next request of callers: they come by chance, at a fixed rate.
+    /// Schedules the next request of a kind. Arrivals are a Poisson process.
     fn plan(&mut self, kind: usize) {
         let gap = -(1.0 - self.rng.f64()).ln() / self.load.kinds[kind].per_s;
         let gap = Duration::from_secs_f64(gap);
@@ -214,7 +215,7 @@
         self.begin(request);
     }
 
-    /// Takes a request in at its node, as `Egress` does.
+    /// Accepts a request at its caller's node, as `Egress` does.
     fn begin(&mut self, request: usize) {
         let now = self.instant();
         let held = &mut self.requests[request];
@@ -230,7 +231,7 @@
         self.ask(request);
     }
 
-    /// Asks the next node, or ends the request.
+    /// Starts the next attempt, or ends the request.
     fn ask(&mut self, request: usize) {
         let now = self.instant();
         let kind = self.requests[request].kind;
@@ -277,7 +278,7 @@
         self.schedule(way, Event::Reach(request));
     }
 
-    /// Returns what the node of a request tries for it.
+    /// Returns the description of a request by which its attempts are decided.
     fn asked<'b>(&self, request: usize, service: &'b Name) -> tries::Request<'b> {
         let held = &self.requests[request];
         let of = &self.load.kinds[held.kind];
@@ -292,7 +293,7 @@
         }
     }
 
-    /// Returns what a request brings to the gate now.
+    /// Returns the data by which the target's queue admits a request.
     fn arrival(&self, request: usize) -> Arrival {
         let held = &self.requests[request];
         let of = &self.load.kinds[held.kind];
@@ -301,7 +302,7 @@
             .arrival(&asked, self.usual(request), self.instant())
     }
 
-    /// Returns the time of a message between the node of a request and the target's.
+    /// Returns the one-way delay between the caller's node and the target's node.
     fn way(&self, request: usize) -> Duration {
         let Request { home, at, .. } = self.requests[request];
         let domain = |host: usize| self.fleet.hosts[host].domain;
@@ -312,7 +313,7 @@
         }
     }
 
-    /// Takes the head in at the host that was chosen, as `Ingress` does.
+    /// Handles the head of a request at the chosen host, as `Ingress` does.
     fn reach(&mut self, request: usize) {
         if !self.carries(request) {
             let refusal = Refusal::not_run("no allowance for its calls", SHED_AGAIN);
@@ -339,7 +340,7 @@
         }
     }
 
-    /// Returns whether the target may run a request that was sent before.
+    /// Returns whether the target may run a request: a repeat needs a budget for its calls.
     fn carries(&mut self, request: usize) -> bool {
         let now = self.instant();
         let held = &self.requests[request];
@@ -354,7 +355,7 @@
         is_large(body) && self.fleet.hosts[held.at].line.is_known()
     }
 
-    /// Lets the body cross the link, behind those that do already.
+    /// Transfers the body over the link, after all earlier bodies.
     fn cross(&mut self, request: usize) {
         let held = &self.requests[request];
         let body = self.load.kinds[held.kind].body;
@@ -376,7 +377,7 @@
         }
     }
 
-    /// Asks the gate for room.
+    /// Passes a request to the target's queue, which admits, queues or rejects it.
     fn enter_gate(&mut self, request: usize) {
         let now = self.instant();
         let held = &self.requests[request];
@@ -421,7 +422,7 @@
         }
     }
 
-    /// Turns a request away at the gate.
+    /// Rejects a request on behalf of the target's queue.
     fn refuse(&mut self, request: usize) {
         let now = self.instant();
         let arrival = self.arrival(request);
@@ -432,7 +433,7 @@
         self.answer(request, Ended::Refused { refusal, arrived }, None);
     }
 
-    /// Gives a request a slot.
+    /// Starts a request in its slot.
     fn enter(&mut self, request: usize) {
         self.requests[request].place = None;
         self.requests[request].entered = self.now;
@@ -442,7 +443,7 @@
         }
     }
 
-    /// Gives a request to the target.
+    /// Passes a request to the target, which sheds it, runs it, or first sends calls.
     fn run_on(&mut self, request: usize) {
         let held = &self.requests[request];
         let host = held.at;
@@ -481,7 +482,7 @@
     fn work(&mut self, request: usize) {
         let host = self.requests[request].at;
         let of = &self.load.kinds[self.requests[request].kind];
-        // A lognormal time with the mean and the spread that are asked for.
+        // A lognormal run time with the mean and the coefficient of variation of the kind.
         let sigma2 = (1.0 + of.spread * of.spread).ln();
         let normal = self.normal();
         let factor = (sigma2.sqrt() * normal - sigma2 / 2.0).exp();
@@ -490,13 +491,13 @@
         self.schedule(takes, Event::Done(request));
     }
 
-    /// Returns a number of the standard normal distribution.
+    /// Returns a sample of the standard normal distribution.
     fn normal(&mut self) -> f64 {
         let radius = (-2.0 * (1.0 - self.rng.f64()).ln()).sqrt();
         radius * (std::f64::consts::TAU * self.rng.f64()).cos()
     }
 
-    /// Ends a run, and lets in who waits.
+    /// Ends a run, answers the request and admits queued ones.
     fn done(&mut self, request: usize) {
         let held = &self.requests[request];
         let host = held.at;
@@ -527,7 +528,7 @@
         }
     }
 
-    /// Sends the outcome of a try back, with what the node tells of its target.
+    /// Sends the result of an attempt back, with the node's report on its target.
     fn answer(&mut self, request: usize, ended: Ended<bool>, ran: Option<Duration>) {
         let held = &self.requests[request];
         let body = self.load.kinds[held.kind].body;
@@ -543,7 +544,7 @@
         self.schedule(way, Event::Return(request));
     }
 
-    /// Takes in how a try ended.
+    /// Handles the result of an attempt at the caller's node.
     fn hear(&mut self, request: usize) {
         let now = self.instant();
         let held = &mut self.requests[request];
@@ -572,7 +573,7 @@
         }
     }
 
-    /// Ends a request with what its caller is told.
+    /// Ends a request with its final result; after a refusal, the caller may retry.
     fn end(&mut self, request: usize, result: Result<bool, Refusal>) {
         let held = &self.requests[request];
         match result {
@@ -627,7 +628,8 @@
         }
     }
 
-    /// Tells the run that made a call how it ended; the run goes on after its last one.
+    /// Reports the end of a call to the run that sent it; the run continues after its last
+    /// call.
     fn tell_parent(&mut self, request: usize, is_served: bool) {
         let Some(parent) = self.requests[request].parent else {
             return;
--- a/standins/src/proxy.rs
+++ b/standins/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that harms what passes through it.
+//! A loopback TCP proxy that injects network faults.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,33 +11,33 @@
     sync::watch,
 };
 
-/// What a proxy does with the bytes of its connections.
+/// The fault that a proxy injects into its connections.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Harm {
-    /// Passes them on.
+    /// Forwards all bytes.
     None,
-    /// Passes them on later.
+    /// Forwards all bytes after this delay.
     Delay(Duration),
-    /// Ends open connections and new ones with a reset.
+    /// Resets open and new connections.
     Reset,
-    /// Loses what goes to the server; its answers still come.
+    /// Drops bytes to the server; bytes from it are still forwarded.
     CutThere,
-    /// Loses what comes back.
+    /// Drops bytes from the server; bytes to it are still forwarded.
     CutBack,
-    /// Loses both, and keeps connections open.
+    /// Drops bytes in both directions and keeps connections open.
     Silence,
 }
 
 /// A running proxy.
 #[derive(Clone)]
 pub struct Proxy {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     harm: watch::Sender<Harm>,
 }
 
 impl Proxy {
-    /// Starts a proxy to `to` that harms nothing yet.
+    /// Starts a proxy to `to` without a fault.
     pub async fn start(to: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let proxy = Self {
@@ -47,21 +47,21 @@
         let harm = proxy.harm.subscribe();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(carry(stream, to, harm.clone()));
+                tokio::spawn(forward(stream, to, harm.clone()));
             }
         });
         proxy
     }
 
-    /// Sets what it does from now on, with open connections as well.
+    /// Sets the fault for new and open connections.
     pub fn set(&self, harm: Harm) {
         self.harm.send_replace(harm);
     }
 }
 
-/// Carries one connection until either end closes it or it is reset.
-async fn carry(stream: TcpStream, to: SocketAddr, mut harm: watch::Receiver<Harm>) {
-    // Closing with nothing lingering and bytes unsent resets a connection.
+/// Forwards one connection until both directions have ended or it is reset.
+async fn forward(stream: TcpStream, to: SocketAddr, mut harm: watch::Receiver<Harm>) {
+    // With a zero linger time, closing a connection resets it.
     stream.set_zero_linger().unwrap();
     if *harm.borrow() == Harm::Reset {
         return;
@@ -80,7 +80,8 @@
     }
 }
 
-/// Carries bytes one way; the end of one way is passed on as such.
+/// Forwards bytes in one direction, unless the fault `cut` drops them; forwards the end of
+/// the stream, too.
 async fn pump(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
@@ -89,15 +90,15 @@
 ) {
     let mut bytes = [0; 8 << 10];
     while let Ok(count @ 1..) = from.read(&mut bytes).await {
-        let now = *harm.borrow();
-        if let Harm::Delay(span) = now {
+        let current = *harm.borrow();
+        if let Harm::Delay(span) = current {
             tokio::time::sleep(span).await;
         }
-        let is_lost = now == cut || now == Harm::Silence;
-        if !is_lost && to.write_all(&bytes[..count]).await.is_err() {
+        let is_dropped = current == cut || current == Harm::Silence;
+        if !is_dropped && to.write_all(&bytes[..count]).await.is_err() {
             break;
         }
     }
-    // The other end may have closed it already.
+    // Fails if the receiving end has closed the connection already.
     let _ = to.shutdown().await;
 }
--- a/standins/src/store.rs
+++ b/standins/src/store.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the platform's store, as its protocol describes it, with its
-//! faults. Written from the published pages alone.
+//! A stand-in for the platform's store, with faults to inject. It is written from the
+//! published protocol alone, independently of the client.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -24,15 +24,16 @@
 use serde_json::{Value, json};
 use tokio::sync::watch;
 
-/// What the store does with the calls of some nodes.
+/// How the store handles calls.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Mode {
+    /// Answers calls.
     Up,
-    /// Answers 503: nothing was done.
+    /// Answers 503 without an effect.
     Refusing,
     /// Accepts connections and never answers.
     Silent,
-    /// Does writes, and loses their answers.
+    /// Applies appends and never answers them.
     LosingAnswers,
 }
 
@@ -41,11 +42,11 @@
 pub struct Store {
     pub address: SocketAddr,
     log: Arc<Mutex<Log>>,
-    /// Counts changes, which wake waiting reads.
+    /// A count of changes; each change wakes waiting reads.
     changes: watch::Sender<u64>,
-    /// What it does with all calls.
+    /// The mode for all calls.
     mode: watch::Sender<Mode>,
-    /// What it does with the calls that come by this address.
+    /// The mode for calls to this handle's address; takes precedence unless `Up`.
     own: watch::Sender<Mode>,
     _phase: Arc<watch::Sender<Phase>>,
 }
@@ -53,15 +54,15 @@
 #[derive(Default)]
 struct Log {
     topics: HashMap<String, Topic>,
-    /// Calls by path and topic.
+    /// The number of calls by path and topic.
     calls: BTreeMap<(String, String), u64>,
-    /// Bytes given out by reads of the tail.
+    /// Bytes returned by reads of the tail.
     given: u64,
 }
 
 #[derive(Default)]
 struct Topic {
-    /// The records kept, the first at offset `first`.
+    /// The retained records; the first one has offset `first`.
     records: Vec<Bytes>,
     first: u64,
     newest: BTreeMap<Vec<u8>, (Bytes, u64)>,
@@ -78,7 +79,7 @@
         let Some((length, rest)) = record.split_first() else {
             return;
         };
-        // A record with no whole key is the newest of none.
+        // A record without a complete key counts for no key.
         let Some((key, value)) = rest.split_at_checked(usize::from(*length)) else {
             return;
         };
@@ -101,8 +102,8 @@
         )
     }
 
-    /// Returns the same store at another address, for one node, so that it can
-    /// be turned away alone.
+    /// Returns a handle to the same store at another address, for one node, so that faults
+    /// can be injected for that node alone.
     pub fn door(&self) -> Self {
         Self::serve(self.log.clone(), self.changes.clone(), self.mode.clone())
     }
@@ -136,40 +137,41 @@
         store
     }
 
-    /// Sets what it does with the calls that come by this address.
+    /// Sets the mode for calls to this handle's address.
     pub fn set_own(&self, mode: Mode) {
         self.own.send_replace(mode);
     }
 
-    fn now(&self) -> Mode {
+    fn current_mode(&self) -> Mode {
         match *self.own.borrow() {
             Mode::Up => *self.mode.borrow(),
             own => own,
         }
     }
 
+    /// Sets the mode for all calls, at every address.
     pub fn set(&self, mode: Mode) {
         self.mode.send_replace(mode);
     }
 
-    /// Writes a version, as the operator does.
+    /// Appends a version, as the operator does.
     pub fn publish(&self, version: &Value) {
         self.write("keyed.op", b"config", version.to_string().as_bytes());
     }
 
-    /// Writes what another writer might, as it is, into the topic of the members.
+    /// Appends an arbitrary record to the topic of the members, as another writer may.
     pub fn write_member(&self, key: &[u8], value: &[u8]) {
         self.write("keyed.rilltrack-members", key, value);
     }
 
-    /// Orders that a service move to a release, as the operator does.
+    /// Appends a roll-out order for a service, as the operator does.
     pub fn order(&self, service: &str, release: &str, duration: &str) {
         let order = json!({"service": service, "targetVersion": release, "duration": duration});
         let key = format!("rollout/{service}");
         self.write("keyed.op", key.as_bytes(), order.to_string().as_bytes());
     }
 
-    /// Returns what the operator reads of the latest order for a service, the oldest word
+    /// Returns the states that the status records of a service's orders report, the oldest
     /// first.
     pub fn words(&self, service: &str) -> Vec<String> {
         let log = self.log.lock();
@@ -192,12 +194,12 @@
             .collect()
     }
 
-    /// Writes bytes in place of a version.
+    /// Appends arbitrary bytes under the key of versions.
     pub fn publish_bytes(&self, bytes: &[u8]) {
         self.write("keyed.op", b"config", bytes);
     }
 
-    /// Deletes all records; the newest of each key stays.
+    /// Deletes the history of all topics; the newest record of each key stays.
     pub fn forget_history(&self) {
         for topic in self.log.lock().topics.values_mut() {
             topic.first = topic.end();
@@ -206,27 +208,27 @@
         self.changes.send_modify(|count| *count += 1);
     }
 
-    /// Returns how often a call was made, on any topic.
+    /// Returns the number of calls to a path, over all topics.
     pub fn calls(&self, call: &str) -> u64 {
         let log = self.log.lock();
         let calls = log.calls.iter().filter(|((path, _), _)| path == call);
         calls.map(|(_, count)| count).sum()
     }
 
-    /// Returns how often a call was made on a topic.
+    /// Returns the number of calls to a path for one topic.
     pub fn calls_on(&self, call: &str, topic: &str) -> u64 {
         let key = (call.to_owned(), topic.to_owned());
         self.log.lock().calls.get(&key).copied().unwrap_or(0)
     }
 
-    /// Returns how many bytes reads of the tail gave out.
+    /// Returns the number of bytes that reads of the tail returned.
     pub fn given(&self) -> u64 {
         self.log.lock().given
     }
 
-    /// Writes a record of the members as it is, with no whole key in it perhaps.
+    /// Appends raw bytes as a record of the members; they may have no complete key.
     pub fn write_torn(&self, record: &'static [u8]) {
-        self.add("keyed.rilltrack-members", Bytes::from_static(record));
+        self.append_record("keyed.rilltrack-members", Bytes::from_static(record));
     }
 
     fn write(&self, topic: &str, key: &[u8], value: &[u8]) {
@@ -234,10 +236,10 @@
         record.put_u8(key.len() as u8);
         record.put_slice(key);
         record.put_slice(value);
-        self.add(topic, record.freeze());
+        self.append_record(topic, record.freeze());
     }
 
-    fn add(&self, topic: &str, record: Bytes) {
+    fn append_record(&self, topic: &str, record: Bytes) {
         let mut log = self.log.lock();
         log.topics.entry(topic.into()).or_default().append(record);
         drop(log);
@@ -245,7 +247,7 @@
     }
 
     async fn answer(&self, request: Request<Body>) -> Response<Body> {
-        let mode = self.now();
+        let mode = self.current_mode();
         match mode {
             Mode::Refusing => return plain(StatusCode::SERVICE_UNAVAILABLE),
             Mode::Silent => std::future::pending().await,
@@ -307,7 +309,7 @@
         let (mut mode, mut own) = (self.mode.subscribe(), self.own.subscribe());
         let until = tokio::time::Instant::now() + Duration::from_millis(wait);
         loop {
-            match self.now() {
+            match self.current_mode() {
                 Mode::Refusing => return plain(StatusCode::SERVICE_UNAVAILABLE),
                 Mode::Silent => std::future::pending().await,
                 Mode::Up | Mode::LosingAnswers => {}
@@ -357,7 +359,7 @@
     }
 
     fn newest(&self, query: &HashMap<String, String>) -> Response<Body> {
-        /// Records of a page: few, so that several pages are needed.
+        /// Records of a page; few, so that tests need several pages.
         const PAGE: usize = 2;
         let mut log = self.log.lock();
         let topic = log.topics.entry(query["topic"].clone()).or_default();
--- a/standins/src/target.rs
+++ b/standins/src/target.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a target, with its faults.
+//! A stand-in for a target, with faults to inject.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc};
 
@@ -9,46 +9,48 @@
     sync::watch,
 };
 
-/// How a target treats the requests that reach it.
+/// How a target handles requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Mode {
-    /// Runs them and answers.
+    /// Runs them and answers correctly.
     Serves,
-    /// Refuses them, and says that they have not run.
+    /// Rejects them with 503 and reports that they didn't run.
     Sheds,
-    /// Runs them and breaks off.
+    /// Runs them and closes the connection without an answer.
     Breaks,
-    /// Runs them and fails.
+    /// Runs them and answers 500.
     Fails,
-    /// Runs them and answers as if to another request.
+    /// Runs them and answers with the id of another request.
     Mixes,
-    /// Runs them and answers without its proof.
+    /// Runs them and answers without the signature header.
     Unproved,
-    /// Runs them and sends half of the answer.
+    /// Runs them, sends the answer without its last two bytes and closes the connection.
     Halves,
-    /// Runs them and answers without a length, up to its end.
+    /// Runs them and answers without a length; the end of the connection ends the answer.
     Unframed,
-    /// Runs them, answers, and answers once more.
+    /// Runs them and sends the answer twice.
     Twice,
-    /// Takes them and never answers.
+    /// Runs them and never answers.
     Hangs,
-    /// Says that it is another instance than the one that is meant.
+    /// Rejects them with 421, as an instance other than the expected one does.
     Other,
 }
 
-/// A request as it reached a target.
+/// A request as a target received it.
 #[derive(Clone, Debug, Default)]
 pub struct Seen {
+    /// The request line.
     pub line: String,
     pub headers: HashMap<String, String>,
     pub body: Vec<u8>,
-    /// When its head had come.
+    /// When it was read completely.
     pub at: Option<std::time::Instant>,
     /// Whether the target ran it.
     pub ran: bool,
 }
 
 impl Seen {
+    /// Returns the value of a header, by its name in lower case; empty if it is missing.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
@@ -60,21 +62,21 @@
     pub address: SocketAddr,
     mode: Arc<Mutex<Mode>>,
     seen: Arc<Mutex<Vec<Seen>>>,
-    /// A part of the request line under which it ends.
+    /// A part of a request line; requests that contain it crash the target.
     fatal: Arc<Mutex<Option<String>>>,
-    life: Arc<Mutex<Life>>,
+    process: Arc<Mutex<ProcessState>>,
 }
 
-/// One life after the other of a target's process.
+/// The state of a target's simulated process.
 #[derive(Default)]
-struct Life {
-    /// Dropped when it ends, which ends all that it has open.
-    current: Option<watch::Sender<()>>,
-    ended: usize,
+struct ProcessState {
+    /// Set while the process runs; dropping it closes the listener and all connections.
+    running: Option<watch::Sender<()>>,
+    crashes: usize,
 }
 
 impl Target {
-    /// Starts a target that serves.
+    /// Starts a target in mode `Serves`.
     pub async fn start() -> Self {
         let socket = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let target = Self {
@@ -82,13 +84,13 @@
             mode: Arc::new(Mutex::new(Mode::Serves)),
             seen: Arc::default(),
             fatal: Arc::default(),
-            life: Arc::default(),
+            process: Arc::default(),
         };
-        target.live(socket);
+        target.run(socket);
         target
     }
 
-    /// Starts it again at its address, if it has ended.
+    /// Restarts it at its address, if it has crashed.
     pub async fn restart(&self) {
         if self.is_there() {
             return;
@@ -96,45 +98,45 @@
         let socket = loop {
             match TcpListener::bind(self.address).await {
                 Ok(socket) => break socket,
-                // The former life's listener is about to close.
+                // The listener of the crashed process isn't closed yet.
                 Err(_) => tokio::time::sleep(std::time::Duration::from_millis(5)).await,
             }
         };
-        self.live(socket);
+        self.run(socket);
     }
 
-    /// Ends as a process that crashes: all that it has open is closed at once.
+    /// Simulates a crash: closes the listener and all connections at once.
     pub fn end(&self) {
-        let mut life = self.life.lock();
-        life.ended += usize::from(life.current.take().is_some());
+        let mut process = self.process.lock();
+        process.crashes += usize::from(process.running.take().is_some());
     }
 
-    /// Ends whenever it begins to run a request with `part` in its first line.
+    /// Makes it crash whenever it starts a request whose request line contains `part`.
     pub fn end_under(&self, part: &str) {
         *self.fatal.lock() = Some(part.into());
     }
 
-    /// Returns whether it runs.
+    /// Returns whether its process is running.
     pub fn is_there(&self) -> bool {
-        self.life.lock().current.is_some()
+        self.process.lock().running.is_some()
     }
 
-    /// Returns how often it has ended.
+    /// Returns the number of its crashes.
     pub fn ended(&self) -> usize {
-        self.life.lock().ended
+        self.process.lock().crashes
     }
 
-    fn live(&self, socket: TcpListener) {
-        let (sender, mut ends) = watch::channel(());
-        self.life.lock().current = Some(sender);
-        // Its listener closes before its connections do.
+    fn run(&self, socket: TcpListener) {
+        let (sender, mut crashed) = watch::channel(());
+        self.process.lock().running = Some(sender);
+        // The listener closes before the connections do.
         let (closing, closed) = watch::channel(());
         let target = self.clone();
         tokio::spawn(async move {
             loop {
                 let accepted = tokio::select! {
                     accepted = socket.accept() => accepted,
-                    _ = ends.changed() => break,
+                    _ = crashed.changed() => break,
                 };
                 let Ok((stream, _)) = accepted else { break };
                 let (target, mut closed) = (target.clone(), closed.clone());
@@ -150,16 +152,17 @@
         });
     }
 
+    /// Sets the mode for later requests.
     pub fn set(&self, mode: Mode) {
         *self.mode.lock() = mode;
     }
 
-    /// Returns the requests that reached it.
+    /// Returns all received requests.
     pub fn seen(&self) -> Vec<Seen> {
         self.seen.lock().clone()
     }
 
-    /// Returns the ids of the requests that it ran.
+    /// Returns the attempt ids of the requests that it ran.
     pub fn ran(&self) -> Vec<String> {
         let seen = self.seen.lock();
         let ran = seen.iter().filter(|seen| seen.ran);
@@ -167,12 +170,12 @@
             .collect()
     }
 
-    /// Returns how many requests meant for an instance came after a moment.
+    /// Returns the number of requests for an instance that arrived after `at`.
     pub fn seen_since(&self, at: std::time::Instant, instance: &str) -> usize {
         let seen = self.seen.lock();
         let late = seen
             .iter()
-            .filter(|seen| seen.at.is_some_and(|came| came > at));
+            .filter(|seen| seen.at.is_some_and(|received| received > at));
         late.filter(|seen| seen.header("rilltrack-expect-instance") == instance)
             .count()
     }
@@ -186,11 +189,11 @@
             let fatal = self.fatal.lock().clone();
             if fatal.is_some_and(|part| seen.line.contains(&part)) {
                 self.end();
-                // Its connection closes with all others.
+                // The crash closes this connection with all others.
                 std::future::pending::<()>().await;
             }
             if mode == Mode::Hangs {
-                // Ends when its caller does.
+                // Waits until the client closes the connection.
                 drop(stream.read_u8().await);
                 return None;
             }
