--- a/standins/examples/soak.rs
+++ b/standins/examples/soak.rs
@@ -1,9 +1,9 @@
-//! A randomized soak: real processes, faults from outside, promises checked by what
-//! callers and targets see.
+//! A randomized soak test: injects faults into real processes and checks guarantees by what
+//! callers and targets observe.
 //!
-//! `cargo run --release --example soak -- --seed 7` plays seed 7 and prints the first
-//! broken promise with the request's story; `--seeds 50` plays so many from there.
-//! It needs `rilltrack-node` built beside it, and ends only processes that it
+//! `cargo run --release --example soak -- --seed 7` runs seed 7 and prints the first violation
+//! with the request concerned; `--seeds 50` runs 50 seeds from there. It needs
+//! `rilltrack-node` in the parent of its own folder, and signals only processes that it
 //! started, by their ids.
 
 use std::{
@@ -46,37 +46,38 @@
     seconds: u64,
 }
 
-/// How long a target that drains may still be sent requests; the platform's bound.
-const DRAIN: Duration = Duration::from_millis(2000);
+/// The time after its acknowledged drain in which a target may still receive requests, as
+/// the platform specifies.
+const DRAIN_LIMIT: Duration = Duration::from_millis(2000);
 
-/// How long a fleet without faults may take until it serves all again.
-const RECOVERY: Duration = Duration::from_secs(15);
+/// The time after the last fault within which the fleet must serve all requests.
+const RECOVERY_LIMIT: Duration = Duration::from_secs(15);
 
-/// How long after a newer version an older one is written: longer than a reader's pause
-/// between reads, 30 ms.
-const CROSSED: Duration = Duration::from_millis(80);
+/// The delay after which an older version is written behind a newer one: longer than a
+/// reader's pause between reads, 30 ms, so that the older one is read by itself.
+const OLDER_VERSION_DELAY: Duration = Duration::from_millis(80);
 
-/// Callers that send all the while.
+/// The number of callers that send during the faults.
 const CALLERS: usize = 8;
 
-/// Nodes that are stopped in good order at the end.
-const STOPS: usize = 2;
+/// The number of nodes that are stopped gracefully at the end.
+const GRACEFUL_STOPS: usize = 2;
 
-/// Callers with a kept connection to each of those.
-const KEEPERS: usize = 6;
+/// The number of callers with a persistent connection to each of those nodes.
+const CALLERS_PER_STOP: usize = 6;
 
 const SERVICES: [&str; 2] = ["a", "b"];
 
-/// What became of a request, as its caller saw it.
+/// A request and its answer, as its caller saw them.
 #[derive(Clone, Debug)]
-struct Asked {
+struct RequestRecord {
     once: bool,
     to: usize,
     at: Duration,
     answer: String,
 }
 
-impl std::fmt::Display for Asked {
+impl std::fmt::Display for RequestRecord {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let Self { to, at, answer, .. } = self;
         write!(f, "sent to n{to} at {at:?}, answered {answer:?}")
@@ -89,34 +90,35 @@
     settings: PathBuf,
     child: Mutex<Option<Child>>,
     target: Target,
-    door: Store,
-    ways: Ways,
-    life: Mutex<Life>,
+    own_store: Store,
+    proxies: Proxies,
+    instance: Mutex<Instance>,
     silent: AtomicBool,
-    /// When the drain of an instance was acknowledged.
+    /// The instance whose drain was acknowledged first, and when.
     drained: Mutex<Option<(u64, Instant)>>,
-    newest: AtomicU64,
+    /// The newest version that the current process has reported.
+    newest_version: AtomicU64,
 }
 
-/// What a target says of itself.
+/// The state that a target reports in its heartbeats.
 #[derive(Clone, Copy, Default)]
-struct Life {
+struct Instance {
     id: u64,
-    /// Its start: a target starts again under its id at times.
+    /// Its start time, which distinguishes instances after a restart under the same id.
     born: u64,
     sequence: u64,
     draining: bool,
 }
 
-/// The proxies through which a node and its target are reached, and the store.
-struct Ways {
+/// The proxies in front of a node's listeners, its target and its store.
+struct Proxies {
     inbound: Proxy,
     peers: Proxy,
     target: Proxy,
     store: Proxy,
 }
 
-impl Ways {
+impl Proxies {
     fn all(&self) -> [&Proxy; 4] {
         [&self.inbound, &self.peers, &self.target, &self.store]
     }
@@ -126,11 +128,11 @@
     seed: u64,
     nodes: Vec<Node>,
     store: Store,
-    asked: Mutex<BTreeMap<String, Asked>>,
-    /// Requests over kept connections, once there were no more faults.
-    kept: Mutex<BTreeMap<String, Asked>>,
-    broken: Mutex<Vec<String>>,
-    since: Instant,
+    requests: Mutex<BTreeMap<String, RequestRecord>>,
+    /// Requests over persistent connections, sent after the faults.
+    persistent: Mutex<BTreeMap<String, RequestRecord>>,
+    violations: Mutex<Vec<String>>,
+    started: Instant,
     done: AtomicBool,
     version: AtomicU64,
 }
@@ -149,9 +151,10 @@
             .append(true)
             .open(self.settings.with_extension("log"))
             .unwrap();
-        // Held until the new life counts as such: one that answers while the former still
-        // stands here would seem to be the former with an older version (seed 135).
-        let mut held = self.child.lock();
+        // Locked until `newest_version` is reset, too: a new process that answered while the
+        // former one was still registered here was taken for the former with an older version
+        // (seed 135).
+        let mut current = self.child.lock();
         let child = Command::new(program)
             .arg("--settings")
             .arg(&self.settings)
@@ -159,17 +162,17 @@
             .stderr(Stdio::inherit())
             .spawn()
             .expect("rilltrack-node is built beside this program");
-        *held = Some(child);
-        self.newest.store(0, Ordering::Relaxed);
+        *current = Some(child);
+        self.newest_version.store(0, Ordering::Relaxed);
     }
 
-    /// Sends a signal to the process that was started here, if it still runs.
+    /// Sends a signal to the node's process, if it is running.
     fn signal(&self, signal: i32) {
         if let Some(child) = &mut *self.child.lock()
             && matches!(child.try_wait(), Ok(None))
         {
-            // SAFETY: a plain call; the child has not been waited for, so the id is
-            // still its own.
+            // SAFETY: `kill` takes no pointers. The child has not been waited for, so its id
+            // is not reused.
             unsafe { libc::kill(child.id() as i32, signal) };
         }
     }
@@ -185,46 +188,52 @@
         (self.ip, port).into()
     }
 
-    /// Reports as a target does, until the run ends.
-    async fn heartbeats(&self, fleet: &Fleet) {
+    /// Sends the target's heartbeats until the run ends.
+    async fn run_heartbeats(&self, fleet: &Fleet) {
         while !fleet.done.load(Ordering::Relaxed) {
-            let life = {
-                let mut held = self.life.lock();
-                held.sequence += 1;
-                *held
+            let instance = {
+                let mut current = self.instance.lock();
+                current.sequence += 1;
+                *current
             };
             if !self.silent.load(Ordering::Relaxed) {
-                let answer = self.report(life).await;
-                if life.draining && answer.starts_with("HTTP/1.1 200") {
-                    self.drained.lock().get_or_insert((life.id, Instant::now()));
+                let answer = self.report(instance).await;
+                if instance.draining && answer.starts_with("HTTP/1.1 200") {
+                    self.drained
+                        .lock()
+                        .get_or_insert((instance.id, Instant::now()));
                 }
             }
             tokio::time::sleep(Duration::from_millis(400)).await;
         }
     }
 
-    /// Sends a heartbeat of a life of the target; returns the answer.
-    async fn report(&self, life: Life) -> String {
-        let state = if life.draining { "draining" } else { "ready" };
-        let body = json!({"address": self.ways.target.address, "born": life.born,
+    /// Sends a heartbeat of an instance of the target; returns the answer.
+    async fn report(&self, instance: Instance) -> String {
+        let state = if instance.draining {
+            "draining"
+        } else {
+            "ready"
+        };
+        let body = json!({"address": self.proxies.target.address, "born": instance.born,
             "info": {"service": self.service, "version": "v1", "zone": "z", "slots": 4},
-            "status": {"state": state, "sequence": life.sequence, "warmupLeft": "0ms"}});
-        self.say(life.id, &body.to_string()).await
+            "status": {"state": state, "sequence": instance.sequence, "warmupLeft": "0ms"}});
+        self.send_heartbeat(instance.id, &body.to_string()).await
     }
 
-    /// Makes the call of a heartbeat, whatever its body.
-    async fn say(&self, id: u64, body: &str) -> String {
+    /// Sends a heartbeat with an arbitrary body; returns the answer.
+    async fn send_heartbeat(&self, id: u64, body: &str) -> String {
         let call = format!(
             "POST /api/instances/i{id}/heartbeat HTTP/1.1\r\nhost: x\r\n\
              content-length: {}\r\nconnection: close\r\n\r\n{body}",
             body.len()
         );
-        tell(self.at(7004), &call, Duration::from_secs(1)).await
+        exchange(self.at(7004), &call, Duration::from_secs(1)).await
     }
 }
 
-/// Sends requests over one kept connection to node `to` until that closes it.
-async fn keeper(fleet: Arc<Fleet>, to: usize, caller: usize) {
+/// Sends requests over one persistent connection to node `to` until that closes it.
+async fn send_over_one_connection(fleet: Arc<Fleet>, to: usize, caller: usize) {
     use tokio::io::AsyncWriteExt;
     let Ok(mut stream) = tokio::net::TcpStream::connect(fleet.nodes[to].at(7001)).await else {
         return;
@@ -237,20 +246,20 @@
              Rilltrack-Attempt-Id: {id}\r\nRilltrack-Deadline-Ms: 1500\r\n\
              Content-Length: 3\r\n\r\nabc"
         );
-        let at = fleet.since.elapsed();
+        let at = fleet.started.elapsed();
         let sent = stream.write_all(request.as_bytes()).await;
         let answer = match sent {
-            Ok(()) => one_answer(&mut stream).await,
+            Ok(()) => read_answer(&mut stream).await,
             Err(_) => return,
         };
         let closes = answer.is_empty() || answer.contains("connection: close");
-        let asked = Asked {
+        let record = RequestRecord {
             once: true,
             to,
             at,
             answer,
         };
-        fleet.kept.lock().insert(id, asked);
+        fleet.persistent.lock().insert(id, record);
         if closes {
             return;
         }
@@ -258,8 +267,9 @@
     }
 }
 
-/// Reads an answer with a length; empty if the connection ends before it is whole.
-async fn one_answer(stream: &mut tokio::net::TcpStream) -> String {
+/// Reads an answer with a content-length; returns an empty string if the connection ends
+/// before it is complete.
+async fn read_answer(stream: &mut tokio::net::TcpStream) -> String {
     use tokio::io::AsyncReadExt;
     let mut bytes = Vec::new();
     loop {
@@ -279,17 +289,19 @@
     }
 }
 
-async fn tell(to: SocketAddr, bytes: &str, within: Duration) -> String {
+/// Sends bytes over a new connection and returns the answer up to the connection's end; empty
+/// if there is none within the time limit.
+async fn exchange(to: SocketAddr, bytes: &str, within: Duration) -> String {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
-    let exchange = async {
+    let answer = async {
         let mut stream = tokio::net::TcpStream::connect(to).await.ok()?;
         stream.write_all(bytes.as_bytes()).await.ok()?;
         let mut answer = Vec::new();
-        // A reset ends the answer as well: what came of it counts.
+        // A reset ends the answer, too; the bytes received until then count.
         let _ = stream.read_to_end(&mut answer).await;
         Some(String::from_utf8_lossy(&answer).into_owned())
     };
-    let answer = tokio::time::timeout(within, exchange).await;
+    let answer = tokio::time::timeout(within, answer).await;
     answer.ok().flatten().unwrap_or_default()
 }
 
@@ -304,14 +316,14 @@
             let id = std::process::id();
             let ip: IpAddr =
                 Ipv4Addr::new(127, 30 + (seed % 30) as u8, (id % 250) as u8, i as u8 + 1).into();
-            let door = store.door();
+            let own_store = store.door();
             let at = |port| SocketAddr::new(ip, port);
             let target = Target::start().await;
-            let ways = Ways {
+            let proxies = Proxies {
                 inbound: Proxy::start(at(7002)).await,
                 peers: Proxy::start(at(7003)).await,
                 target: Proxy::start(target.address).await,
-                store: Proxy::start(door.address).await,
+                store: Proxy::start(own_store.address).await,
             };
             let domain = ["x", "y", "z"][i % 3];
             let settings = json!({
@@ -319,8 +331,8 @@
                 "service": SERVICES[i % 2],
                 "listen": {"callers": at(7001), "inbound": at(7002), "peers": at(7003),
                     "targets": at(7004), "ready": at(7005), "metrics": at(7006)},
-                "advertise": {"inbound": ways.inbound.address, "peers": ways.peers.address},
-                "store": ways.store.address, "heartbeat": "400ms", "grace": "6s",
+                "advertise": {"inbound": proxies.inbound.address, "peers": proxies.peers.address},
+                "store": proxies.store.address, "heartbeat": "400ms", "grace": "6s",
                 "resend": {"ratio": 0.2, "slack": 62, "window": "10s"}, "descriptors": 1024,
             });
             let path = folder.join(format!("n{i}.json"));
@@ -331,15 +343,15 @@
                 settings: path,
                 child: Mutex::new(None),
                 target,
-                door,
-                ways,
-                life: Mutex::new(Life {
+                own_store,
+                proxies,
+                instance: Mutex::new(Instance {
                     id: 1,
-                    ..Life::default()
+                    ..Instance::default()
                 }),
                 silent: AtomicBool::new(false),
                 drained: Mutex::new(None),
-                newest: AtomicU64::new(0),
+                newest_version: AtomicU64::new(0),
             });
         }
         store.publish(&version(1, &SERVICES));
@@ -347,22 +359,22 @@
             seed,
             nodes,
             store,
-            asked: Mutex::default(),
-            kept: Mutex::default(),
-            broken: Mutex::default(),
-            since: Instant::now(),
+            requests: Mutex::default(),
+            persistent: Mutex::default(),
+            violations: Mutex::default(),
+            started: Instant::now(),
             done: AtomicBool::new(false),
             version: AtomicU64::new(1),
         })
     }
 
-    fn breaks(&self, what: String) {
-        self.broken
+    fn report_violation(&self, what: String) {
+        self.violations
             .lock()
-            .push(format!("{:?} {what}", self.since.elapsed()));
+            .push(format!("{:?} {what}", self.started.elapsed()));
     }
 
-    /// Sends one request and notes what came of it.
+    /// Sends one request, records its answer, and returns whether it was served.
     async fn ask(&self, rng: &mut Rng, caller: usize, number: usize) -> bool {
         let to = rng.usize(..self.nodes.len());
         let once = rng.bool();
@@ -378,21 +390,21 @@
              Rilltrack-Attempt-Id: {id}\r\nRilltrack-Deadline-Ms: 1500\r\n\
              Content-Length: 3\r\nConnection: close\r\n\r\nabc"
         );
-        let at = self.since.elapsed();
-        let answer = tell(self.nodes[to].at(7001), &request, Duration::from_secs(4)).await;
+        let at = self.started.elapsed();
+        let answer = exchange(self.nodes[to].at(7001), &request, Duration::from_secs(4)).await;
         let is_served = answer.starts_with("HTTP/1.1 200");
         if is_served && !(answer.ends_with(&format!("ran {id}")) && answer.contains("1.2.3")) {
-            self.breaks(format!(
+            self.report_violation(format!(
                 "request {id} got another answer than its own: {answer:?}"
             ));
         }
-        let asked = Asked {
+        let record = RequestRecord {
             once,
             to,
             at,
             answer,
         };
-        self.asked.lock().insert(id, asked);
+        self.requests.lock().insert(id, record);
         is_served
     }
 
@@ -407,22 +419,24 @@
         }
     }
 
-    /// Watches that no process goes back to an older version.
+    /// Checks that no process goes back to an older version.
     async fn watch_versions(self: Arc<Self>) {
         let check = "GET /metrics HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
         while !self.done.load(Ordering::Relaxed) {
             for (i, node) in self.nodes.iter().enumerate() {
-                let life = node.child.lock().as_ref().map(Child::id);
-                let text = tell(node.at(7006), check, Duration::from_millis(300)).await;
+                let process = node.child.lock().as_ref().map(Child::id);
+                let text = exchange(node.at(7006), check, Duration::from_millis(300)).await;
                 let seen = text
                     .lines()
                     .find_map(|line| line.strip_prefix("rilltrack_version ")?.parse::<u64>().ok());
                 let child = node.child.lock();
-                let same_life = child.as_ref().map(Child::id) == life;
-                if let Some(seen) = seen.filter(|_| same_life) {
-                    let before = node.newest.fetch_max(seen, Ordering::Relaxed);
+                let is_same_process = child.as_ref().map(Child::id) == process;
+                if let Some(seen) = seen.filter(|_| is_same_process) {
+                    let before = node.newest_version.fetch_max(seen, Ordering::Relaxed);
                     if seen < before {
-                        self.breaks(format!("n{i} went back from version {before} to {seen}"));
+                        self.report_violation(format!(
+                            "n{i} went back from version {before} to {seen}"
+                        ));
                     }
                 }
             }
@@ -430,8 +444,8 @@
         }
     }
 
-    /// Plays one fault, and what ends it.
-    async fn fault(self: Arc<Self>, mut rng: Rng) {
+    /// Injects one random fault and, where it lasts, ends it.
+    async fn inject_fault(self: Arc<Self>, mut rng: Rng) {
         let node = &self.nodes[rng.usize(..self.nodes.len())];
         let span = Duration::from_millis(rng.u64(200..2500));
         match rng.u32(..15) {
@@ -444,7 +458,7 @@
                 node.signal(libc::SIGCONT);
             }
             4 => {
-                // A herd, and a freeze amid it.
+                // About 60% of the nodes are killed at once.
                 for other in &self.nodes {
                     if rng.f64() < 0.6 {
                         other.signal(libc::SIGKILL);
@@ -457,9 +471,9 @@
                     StoreMode::Silent,
                     StoreMode::LosingAnswers,
                 ];
-                node.door.set_own(modes[rng.usize(..3)]);
+                node.own_store.set_own(modes[rng.usize(..3)]);
                 tokio::time::sleep(span).await;
-                node.door.set_own(StoreMode::Up);
+                node.own_store.set_own(StoreMode::Up);
             }
             6 => {
                 let modes = [
@@ -478,9 +492,8 @@
                     self.version.fetch_max(next, Ordering::Relaxed);
                     self.store.publish(&version(next, &SERVICES));
                     if rng.f64() < 0.3 {
-                        // Two operators race, and the older one is written last; late
-                        // enough to be read by itself.
-                        tokio::time::sleep(CROSSED).await;
+                        // Two operators race, and the older version is written last.
+                        tokio::time::sleep(OLDER_VERSION_DELAY).await;
                         self.store.publish(&version(next - 1, &SERVICES));
                     }
                     tokio::time::sleep(Duration::from_millis(100)).await;
@@ -488,30 +501,30 @@
             }
             9 => self.drain(node, &mut rng).await,
             10 | 11 => {
-                let harm = harm(&mut rng);
-                let all = node.ways.all();
-                let way = all[rng.usize(..all.len())];
-                way.set(harm);
+                let harm = random_harm(&mut rng);
+                let all = node.proxies.all();
+                let proxy = all[rng.usize(..all.len())];
+                proxy.set(harm);
                 tokio::time::sleep(span).await;
-                way.set(Harm::None);
+                proxy.set(Harm::None);
             }
             12 => {
-                // A failure domain is cut off: from others, from the store, or both.
+                // A failure domain is partitioned from the others, and from the store at times.
                 let domain = rng.usize(..3);
-                let harm = harm(&mut rng);
+                let harm = random_harm(&mut rng);
                 let with_store = rng.bool();
-                let cut = |harm| {
+                let set_domain = |harm| {
                     for node in self.nodes.iter().skip(domain).step_by(3) {
-                        node.ways.inbound.set(harm);
-                        node.ways.peers.set(harm);
+                        node.proxies.inbound.set(harm);
+                        node.proxies.peers.set(harm);
                         if with_store {
-                            node.ways.store.set(harm);
+                            node.proxies.store.set(harm);
                         }
                     }
                 };
-                cut(harm);
+                set_domain(harm);
                 tokio::time::sleep(span).await;
-                cut(Harm::None);
+                set_domain(Harm::None);
             }
             _ => {
                 let modes = [
@@ -532,12 +545,12 @@
         }
     }
 
-    /// A target leaves and its successor comes, with its node killed at times.
+    /// Drains a target and replaces it by a successor; kills its node at times.
     async fn drain(&self, node: &Node, rng: &mut Rng) {
         let instance = {
-            let mut held = node.life.lock();
-            held.draining = true;
-            held.id
+            let mut current = node.instance.lock();
+            current.draining = true;
+            current.id
         };
         if rng.bool() {
             tokio::time::sleep(Duration::from_millis(rng.u64(..900))).await;
@@ -546,39 +559,42 @@
         tokio::time::sleep(Duration::from_millis(3500)).await;
         let acknowledged = node.drained.lock().take();
         if let Some((drained, at)) = acknowledged.filter(|(drained, _)| *drained == instance) {
-            let late = node.target.seen_since(at + DRAIN, &format!("i{drained}"));
+            let late = node
+                .target
+                .seen_since(at + DRAIN_LIMIT, &format!("i{drained}"));
             if late > 0 {
-                self.breaks(format!(
+                self.report_violation(format!(
                     "{late} requests reached i{drained} after its drain"
                 ));
             }
         }
-        let mut held = node.life.lock();
-        if held.id == instance {
-            *held = Life {
+        let mut current = node.instance.lock();
+        if current.id == instance {
+            *current = Instance {
                 id: instance + 1,
-                ..Life::default()
+                ..Instance::default()
             };
         }
     }
 
-    /// Until `end`, targets start again under their id, words of their earlier lives come
-    /// late, and other writers leave in the store and at nodes what can't be used.
+    /// Until `end`, restarts targets under their ids, with late heartbeats of their former
+    /// instances, and sends invalid records and heartbeats to the store and to nodes.
     ///
-    /// It draws from a generator of its own, so that the other faults of a seed stay.
-    async fn lives_and_strays(self: Arc<Self>, end: Instant) {
+    /// It draws from a generator of its own, so that the other faults of a seed don't change.
+    async fn inject_restarts_and_invalid_data(self: Arc<Self>, end: Instant) {
         let mut rng = Rng::with_seed(!self.seed);
         while Instant::now() < end {
             tokio::time::sleep(Duration::from_millis(rng.u64(300..1500))).await;
             let node = &self.nodes[rng.usize(..self.nodes.len())];
             match rng.u32(..3) {
-                0 | 1 => node.starts_again(&mut rng).await,
-                _ => self.strays(node, &mut rng).await,
+                0 | 1 => node.restart_target(&mut rng).await,
+                _ => self.send_invalid_data(node, &mut rng).await,
             }
         }
     }
 
-    async fn strays(&self, node: &Node, rng: &mut Rng) {
+    /// Writes an invalid record to the store, or sends an invalid heartbeat to `node`.
+    async fn send_invalid_data(&self, node: &Node, rng: &mut Rng) {
         let mut bytes = vec![0; rng.usize(1..60)];
         rng.fill(&mut bytes);
         let key = format!("stray & {}", rng.u8(..));
@@ -588,28 +604,29 @@
             2 => self.store.write_member(key.as_bytes(), b"{}"),
             _ => {
                 let body = String::from_utf8_lossy(&bytes).into_owned();
-                drop(node.say(rng.u64(..4), &body).await);
+                drop(node.send_heartbeat(rng.u64(..4), &body).await);
             }
         }
     }
 
-    /// With no fault left, stops nodes in turn, in good order, while callers use kept
-    /// connections until the process is gone: nothing that ran stays without an answer.
-    async fn stops_cut_nothing(self: &Arc<Self>) {
-        for (i, node) in self.nodes.iter().enumerate().take(STOPS) {
-            let callers: Vec<_> = (0..KEEPERS)
-                .map(|caller| tokio::spawn(keeper(self.clone(), i, caller)))
+    /// After the faults, stops nodes gracefully, one by one, while callers send over persistent
+    /// connections until the process has ended. `check_runs` then checks that every request
+    /// that ran was answered.
+    async fn stop_gracefully(self: &Arc<Self>) {
+        for (i, node) in self.nodes.iter().enumerate().take(GRACEFUL_STOPS) {
+            let callers: Vec<_> = (0..CALLERS_PER_STOP)
+                .map(|caller| tokio::spawn(send_over_one_connection(self.clone(), i, caller)))
                 .collect();
             tokio::time::sleep(Duration::from_millis(300)).await;
             node.signal(libc::SIGTERM);
             for caller in callers {
-                caller.await.expect("a caller ends in order");
+                caller.await.expect("a caller does not panic");
             }
         }
     }
 
-    /// Starts what has ended, as the platform does.
-    async fn restart(self: Arc<Self>) {
+    /// Restarts nodes whose process has ended, as the platform does.
+    async fn restart_nodes(self: Arc<Self>) {
         while !self.done.load(Ordering::Relaxed) {
             for node in &self.nodes {
                 if node.has_ended() {
@@ -620,7 +637,7 @@
         }
     }
 
-    /// Checks what can only be told at the end: how often each request ran.
+    /// Checks at the end how often each request ran, against the answer that its caller got.
     fn check_runs(&self) {
         let mut runs: HashMap<String, u32> = HashMap::new();
         for node in &self.nodes {
@@ -628,29 +645,29 @@
                 *runs.entry(id).or_default() += 1;
             }
         }
-        for (id, asked) in &*self.kept.lock() {
-            if asked.answer.is_empty() && runs.contains_key(id) {
-                self.breaks(format!("a stop cut {id}, which ran: {asked}"));
+        for (id, record) in &*self.persistent.lock() {
+            if record.answer.is_empty() && runs.contains_key(id) {
+                self.report_violation(format!("a stop cut {id}, which ran: {record}"));
             }
         }
-        let (asked, kept) = (self.asked.lock(), self.kept.lock());
-        for (id, asked) in asked.iter().chain(kept.iter()) {
+        let (requests, persistent) = (self.requests.lock(), self.persistent.lock());
+        for (id, record) in requests.iter().chain(persistent.iter()) {
             let count = runs.get(id).copied().unwrap_or(0);
-            let status = asked.answer.get(9..12).unwrap_or("none");
-            if asked.once && count > 1 {
-                self.breaks(format!("request {id} ran {count} times: {asked}"));
+            let status = record.answer.get(9..12).unwrap_or("none");
+            if record.once && count > 1 {
+                self.report_violation(format!("request {id} ran {count} times: {record}"));
             }
-            let says_not_run = ["503", "429", "408", "421"].contains(&status);
-            if asked.once && says_not_run && count > 0 {
-                self.breaks(format!("request {id} ran and was refused: {asked}"));
+            let is_reported_not_run = ["503", "429", "408", "421"].contains(&status);
+            if record.once && is_reported_not_run && count > 0 {
+                self.report_violation(format!("request {id} ran and was refused: {record}"));
             }
         }
     }
 
-    /// Waits until requests of all kinds are served and every target is reached from
-    /// other nodes.
-    async fn recovers(&self) {
-        let since = Instant::now();
+    /// Checks that, within [`RECOVERY_LIMIT`], 30 requests in a row are served and every target
+    /// has run a request from another node.
+    async fn check_recovery(&self) {
+        let started = Instant::now();
         let before: Vec<_> = self.nodes.iter().map(|n| n.target.ran().len()).collect();
         let mut rng = Rng::with_seed(self.seed);
         let mut in_a_row = 0;
@@ -659,8 +676,8 @@
             if in_a_row >= 30 && unreached.is_empty() {
                 return;
             }
-            if since.elapsed() > RECOVERY {
-                self.breaks(format!(
+            if started.elapsed() > RECOVERY_LIMIT {
+                self.report_violation(format!(
                     "the fleet does not serve all again: {in_a_row} in a row, no other node \
                      reaches {unreached:?}"
                 ));
@@ -673,13 +690,13 @@
 }
 
 impl Fleet {
-    /// Returns the nodes whose target has run nothing that came from another node, beyond
-    /// the first `before` that each ran.
+    /// Returns the nodes whose target has run no request from another node since it had run
+    /// `before[node]` requests.
     fn unreached(&self, before: &[usize]) -> Vec<usize> {
-        let asked = self.asked.lock();
+        let requests = self.requests.lock();
         let comes_from_others = |node: usize, id: &String| {
-            let asked = asked.get(id);
-            asked.is_some_and(|asked| asked.to != node)
+            let record = requests.get(id);
+            record.is_some_and(|record| record.to != node)
         };
         let is_reached = |node: usize| {
             let ran = self.nodes[node].target.ran();
@@ -694,15 +711,16 @@
 }
 
 impl Node {
-    /// Starts the target again under its id; an earlier life's word may come after that.
-    async fn starts_again(&self, rng: &mut Rng) {
+    /// Restarts the target under its id; sends a late heartbeat of the former instance after
+    /// that.
+    async fn restart_target(&self, rng: &mut Rng) {
         let old = {
-            let mut held = self.life.lock();
-            if held.draining {
+            let mut current = self.instance.lock();
+            if current.draining {
                 return;
             }
-            let old = *held;
-            *held = Life {
+            let old = *current;
+            *current = Instance {
                 born: old.born + 1,
                 sequence: 0,
                 ..old
@@ -710,7 +728,7 @@
             old
         };
         tokio::time::sleep(Duration::from_millis(rng.u64(..900))).await;
-        let late = Life {
+        let late = Instance {
             sequence: old.sequence + 1000,
             draining: rng.bool(),
             ..old
@@ -719,7 +737,8 @@
     }
 }
 
-fn harm(rng: &mut Rng) -> Harm {
+/// Returns a random fault for a proxy.
+fn random_harm(rng: &mut Rng) -> Harm {
     let harms = [
         Harm::Delay(Duration::from_millis(rng.u64(1..300))),
         Harm::Reset,
@@ -730,43 +749,46 @@
     harms[rng.usize(..harms.len())]
 }
 
-async fn play(seed: u64, args: &Args) -> Vec<String> {
+/// Runs one seed; returns the violations in the order of their detection.
+async fn run_seed(seed: u64, args: &Args) -> Vec<String> {
     let fleet = Fleet::start(seed, args.hosts).await;
     fleet.nodes.iter().for_each(Node::start);
     let watcher = fleet.clone();
     let mut tasks = vec![
-        tokio::spawn(fleet.clone().restart()),
+        tokio::spawn(fleet.clone().restart_nodes()),
         tokio::spawn(async move { watcher.watch_versions().await }),
     ];
     for i in 0..fleet.nodes.len() {
         let fleet = fleet.clone();
         tasks.push(tokio::spawn(async move {
-            fleet.nodes[i].heartbeats(&fleet).await
+            fleet.nodes[i].run_heartbeats(&fleet).await
         }));
     }
-    // The fleet comes up as one; nothing is promised to callers before that.
+    // All nodes start at the same time; there are no guarantees to callers until they are up.
     tokio::time::sleep(Duration::from_secs(4)).await;
     for caller in 0..CALLERS {
         tasks.push(tokio::spawn(fleet.clone().caller(caller)));
     }
     let mut rng = Rng::with_seed(seed);
     let end = Instant::now() + Duration::from_secs(args.seconds);
-    let mut faults = vec![tokio::spawn(fleet.clone().lives_and_strays(end))];
+    let mut faults = vec![tokio::spawn(
+        fleet.clone().inject_restarts_and_invalid_data(end),
+    )];
     while Instant::now() < end {
-        // They come in series, and overlap.
+        // Faults start in groups of one to three, and overlap.
         for _ in 0..rng.usize(1..4) {
-            faults.push(tokio::spawn(fleet.clone().fault(rng.fork())));
+            faults.push(tokio::spawn(fleet.clone().inject_fault(rng.fork())));
         }
         tokio::time::sleep(Duration::from_millis(rng.u64(100..900))).await;
     }
     for fault in faults {
-        fault.await.expect("a fault ends in order");
+        fault.await.expect("a fault does not panic");
     }
-    fleet.recovers().await;
-    fleet.stops_cut_nothing().await;
+    fleet.check_recovery().await;
+    fleet.stop_gracefully().await;
     fleet.done.store(true, Ordering::Relaxed);
     for task in tasks {
-        task.await.expect("a task ends in order");
+        task.await.expect("a task does not panic");
     }
     fleet.check_runs();
     for node in &fleet.nodes {
@@ -775,13 +797,13 @@
             child.wait().expect("a child can be waited for");
         }
     }
-    let asked = fleet.asked.lock();
-    let served = asked
+    let requests = fleet.requests.lock();
+    let served = requests
         .values()
-        .filter(|a| a.answer.starts_with("HTTP/1.1 200"))
+        .filter(|request| request.answer.starts_with("HTTP/1.1 200"))
         .count();
-    println!("seed {seed}: {} requests, {served} served", asked.len());
-    fleet.broken.lock().clone()
+    println!("seed {seed}: {} requests, {served} served", requests.len());
+    fleet.violations.lock().clone()
 }
 
 fn main() {
@@ -792,10 +814,10 @@
         .unwrap();
     let mut failed = 0;
     for seed in args.seed..args.seed + args.seeds {
-        let broken = runtime.block_on(play(seed, &args));
-        if let Some(first) = broken.first() {
+        let violations = runtime.block_on(run_seed(seed, &args));
+        if let Some(first) = violations.first() {
             failed += 1;
-            println!("seed {seed} BROKEN ({} in all): {first}", broken.len());
+            println!("seed {seed} BROKEN ({} in all): {first}", violations.len());
         }
     }
     println!("{} seeds, {failed} failed", args.seeds);
--- a/standins/src/load/file.rs
+++ b/standins/src/load/file.rs
@@ -148,13 +148,13 @@
 
 /// Checks what the types don't guarantee.
 fn check(document: &Document, file: &File) -> Result<(), Fault> {
-    let is = |holds: bool, path: &[&str], what: &str| match holds {
+    let require = |holds: bool, path: &[&str], what: &str| match holds {
         true => Ok(()),
         false => Err(document.fault(path, what)),
     };
-    is(file.domains > 0, &["domains"], "is at least 1")?;
-    is(file.seeds > 0, &["seeds"], "is at least 1")?;
-    is(
+    require(file.domains > 0, &["domains"], "is at least 1")?;
+    require(file.seeds > 0, &["seeds"], "is at least 1")?;
+    require(
         !file.variants.is_empty(),
         &["variants"],
         "names one at least",
@@ -162,25 +162,25 @@
     for (i, service) in file.services.iter().enumerate() {
         let at = i.to_string();
         let has_targets = service.targets > 0 && service.slots > 0;
-        is(
+        require(
             has_targets,
             &["services", &at],
             "has a target and a slot at least",
         )?;
         let is_fast = !service.speeds.is_empty() && service.speeds.iter().all(|s| *s > 0.0);
-        is(is_fast, &["services", &at, "speeds"], "are above zero")?;
+        require(is_fast, &["services", &at, "speeds"], "are above zero")?;
     }
     for (i, kind) in file.kinds.iter().enumerate() {
         let at = i.to_string();
         let is_there = kind.service < file.services.len();
-        is(
+        require(
             is_there,
             &["kinds", &at, "service"],
             "is no service's place",
         )?;
         let callee = kind.calls.as_ref().map_or(0, |calls| calls.kind);
         let is_called = callee < file.kinds.len() && (kind.calls.is_none() || callee != i);
-        is(
+        require(
             is_called,
             &["kinds", &at, "calls"],
             "is no other kind's place",
@@ -191,8 +191,8 @@
         for (j, trouble) in variant.troubles.iter().enumerate() {
             let path = ["variants", &at, "troubles", &j.to_string()];
             let is_there = trouble.service < file.services.len();
-            is(is_there, &path, "is at a service that is not there")?;
-            is(
+            require(is_there, &path, "is at a service that is not there")?;
+            require(
                 (0.0..=1.0).contains(&trouble.share),
                 &path,
                 "has a share of 0 to 1",
--- a/standins/tests/whole_path.rs
+++ b/standins/tests/whole_path.rs
@@ -1,5 +1,5 @@
-//! The whole path over stand-ins of the store and of targets: several host
-//! processes, each with its own listeners.
+//! End-to-end tests over stand-ins of the store and of targets: several nodes, each with its
+//! own listeners.
 
 use rilltrack_standins::{
     cases,
@@ -10,8 +10,8 @@
     until,
 };
 
-/// Two hosts in one failure domain and their store: `one` has a target of
-/// service a, `two` one of `service`.
+/// Returns a store and two hosts in one failure domain that know each other: the first has a
+/// target of service a, the second one of `service`.
 async fn pair(service: &str) -> (Store, Host, Host) {
     let store = Store::start().await;
     store.publish(&version(5, &["a", "b"]));
@@ -24,23 +24,24 @@
     (store, one, two)
 }
 
+/// Returns the status code of an answer.
 fn status(answer: &str) -> &str {
     answer.get(9..12).unwrap_or(answer)
 }
 
-/// Returns the hosts' requests that a target ran, over both.
-fn runs(hosts: [&Host; 2], id: &str) -> usize {
-    let of = |host: &Host| {
+/// Returns how often the targets of both hosts received the attempt with this id.
+fn arrivals(hosts: [&Host; 2], id: &str) -> usize {
+    let arrivals_at = |host: &Host| {
         let seen = host.target.seen();
         seen.iter()
             .filter(|s| s.header("rilltrack-attempt-id") == id)
             .count()
     };
-    hosts.into_iter().map(of).sum()
+    hosts.into_iter().map(arrivals_at).sum()
 }
 
 cases! {
-    request_crosses_two_nodes_to_a_target => {
+    request_is_forwarded_over_two_nodes_to_a_target => {
         let (_store, one, two) = pair("b").await;
         let answer = one.ask("POST", "/post/b/x?y=1", "id1", "hello").await;
         assert_eq!(status(&answer), "200", "{answer}");
@@ -58,7 +59,7 @@
         assert!(!seen.headers.keys().any(|name| name.starts_with("rilltrack-hop")));
     }
 
-    caller_service_is_not_what_a_caller_says => {
+    caller_service_is_not_taken_from_the_request => {
         let (_store, one, two) = pair("b").await;
         let request = "GET /get/b/ HTTP/1.1\r\nHost: fares.example:80\r\nConnection: close\r\n\
                        Rilltrack-Attempt-Id: id1\r\nRilltrack-Caller-Service: forged\r\n\
@@ -70,7 +71,7 @@
         assert_eq!(seen.header("rilltrack-expect-instance"), "i1");
     }
 
-    nothing_is_refused_for_good_before_a_version_is_known => {
+    requests_before_the_first_version_get_a_retryable_503 => {
         let store = Store::start().await;
         let mut host = Host::stopped(&store, "n1", "here", "a").await;
         host.run();
@@ -84,7 +85,7 @@
         assert_eq!(status(&host.ask("GET", "/none/", "id2", "").await), "404");
     }
 
-    versions_come_into_force_everywhere_and_never_go_back => {
+    versions_reach_all_nodes_and_never_go_back => {
         let (store, one, two) = pair("b").await;
         store.publish(&version(9, &["a"]));
         until("9 is in force", async || one.version() == 9 && two.version() == 9).await;
@@ -98,7 +99,7 @@
         assert_eq!(status(&one.ask("GET", "/get/b/", "id2", "").await), "200");
     }
 
-    history_that_is_gone_is_no_loss => {
+    versions_spread_although_the_store_deletes_its_history => {
         let (store, one, two) = pair("b").await;
         store.forget_history();
         store.publish(&version(9, &["a"]));
@@ -106,21 +107,21 @@
         until("9 is in force", async || one.version() == 9 && two.version() == 9).await;
     }
 
-    version_reaches_nodes_that_the_store_refuses => {
+    version_reaches_a_node_that_cannot_use_the_store => {
         let (store, one, two) = pair("b").await;
         two.store.set_own(StoreMode::Refusing);
         store.publish(&version(9, &["a", "b"]));
         until("9 is in force", async || one.version() == 9 && two.version() == 9).await;
     }
 
-    lost_answer_of_a_write_is_written_again => {
+    write_whose_answer_was_lost_is_retried => {
         let store = Store::start().await;
         store.publish(&version(5, &["a"]));
         let one = Host::start(&store, "n1", "here", "a").await;
         until("it is written", async || one.knows("n1")).await;
         store.set(StoreMode::LosingAnswers);
         let draining = one.heartbeat("i1", 2, "draining").await;
-        assert_eq!(status(&draining), "503", "not known to be kept: {draining}");
+        assert_eq!(status(&draining), "503", "not known to be stored: {draining}");
         store.set(StoreMode::Up);
         until("it is acknowledged", async || {
             status(&one.heartbeat("i1", 3, "draining").await) == "200"
@@ -128,11 +129,11 @@
         .await;
     }
 
-    idempotent_request_is_sent_again_and_any_other_is_not => {
+    only_idempotent_requests_are_retried_after_a_fault => {
         for mode in [Mode::Breaks, Mode::Mixes, Mode::Unproved, Mode::Halves] {
             let (_store, one, two) = pair("a").await;
             one.target.set(mode);
-            // Whichever target is drawn first, the answer is whole.
+            // Each target may be chosen first; the answer is complete in either case.
             for i in 0..4 {
                 let answer = one.ask("GET", "/get/a/", &format!("id{i}"), "").await;
                 assert_eq!(status(&answer), "200", "{mode:?}: {answer}");
@@ -141,20 +142,20 @@
             two.target.set(mode);
             let answer = one.ask("POST", "/post/a/", "once", "x").await;
             assert_eq!(status(&answer), "502", "{mode:?}: {answer}");
-            assert_eq!(runs([&one, &two], "once"), 1, "{mode:?}");
+            assert_eq!(arrivals([&one, &two], "once"), 1, "{mode:?}");
         }
     }
 
-    request_that_a_silent_node_did_not_take_runs_elsewhere => {
+    request_that_an_unresponsive_node_did_not_accept_runs_elsewhere => {
         let (store, one, mut two) = pair("b").await;
         let three = Host::start(&store, "n3", "here", "b").await;
         until("it is known", async || one.knows("n3")).await;
         two.stop().await;
-        // Takes connections and says nothing, as a host that is frozen.
-        let silent = tokio::net::TcpListener::bind(two.inbound()).await.unwrap();
+        // Accepts connections and sends nothing, as a frozen host does.
+        let listener = tokio::net::TcpListener::bind(two.inbound()).await.unwrap();
         let held = tokio::spawn(async move {
             let mut held = Vec::new();
-            while let Ok((stream, _)) = silent.accept().await {
+            while let Ok((stream, _)) = listener.accept().await {
                 held.push(stream);
             }
         });
@@ -166,7 +167,7 @@
         held.abort();
     }
 
-    request_that_was_shed_runs_elsewhere => {
+    shed_request_runs_elsewhere => {
         let (_store, one, two) = pair("a").await;
         one.target.set(Mode::Sheds);
         for i in 0..4 {
@@ -179,33 +180,34 @@
         assert!(answer.contains("retry-after"), "{answer}");
     }
 
-    what_is_sent_beside_a_repeat_counts_as_its_call => {
+    request_sent_during_a_repeat_counts_as_its_call => {
         let (_store, one, two) = pair("a").await;
         one.target.set(Mode::Sheds);
         two.target.set(Mode::Hangs);
         assert_eq!(two.carried("a"), 0.0);
-        // Some begin at the target here, which sheds them; one at a time, so that the other
-        // has a slot for them.
+        // Some are first sent to the first host's target, which sheds them. They are sent one
+        // at a time, so that the second host's target has a free slot.
         let asked = async {
             for i in 0.. {
                 one.ask_within("GET", "/get/a/", &format!("id{i}"), "", 300).await;
             }
         };
         let sent = async {
-            until("a request that was shed here runs there", async || two.repeats() > 0.0).await;
+            until("a shed request runs at the second host", async || two.repeats() > 0.0).await;
             two.ask_within("GET", "/get/a/", "call", "", 50).await;
         };
         tokio::select! {
-            () = asked => unreachable!("it asks on and on"),
+            () = asked => unreachable!("requests are sent without end"),
             () = sent => {}
         }
         assert!(two.carried("a") > 0.0);
-        // What this node's target shed runs elsewhere, so nothing here is its call.
+        // Requests that the first host's target shed run at the second host, so nothing that
+        // the first host sends is a call of theirs.
         assert_eq!(one.carried("a"), 0.0);
-        until("all have ended", async || two.repeats() == 0.0).await;
+        until("all repeats have ended", async || two.repeats() == 0.0).await;
     }
 
-    fault_of_a_target_is_passed_on_as_it_is => {
+    error_answer_of_a_target_is_forwarded_unchanged => {
         let (_store, one, two) = pair("b").await;
         two.target.set(Mode::Fails);
         let answer = one.ask("POST", "/post/b/", "id1", "x").await;
@@ -214,7 +216,7 @@
         let _ = &one;
     }
 
-    answer_without_a_length_is_whole => {
+    answer_without_a_length_is_complete => {
         let (_store, one, two) = pair("b").await;
         two.target.set(Mode::Unframed);
         let answer = one.ask("POST", "/post/b/", "id1", "x").await;
@@ -222,7 +224,7 @@
         assert!(answer.ends_with("ran id1"), "{answer}");
     }
 
-    second_answer_reaches_nobody => {
+    second_answer_is_not_forwarded => {
         let (_store, one, two) = pair("b").await;
         two.target.set(Mode::Twice);
         for i in 0..10 {
@@ -233,12 +235,12 @@
         let _ = &one;
     }
 
-    request_is_given_up_at_its_deadline => {
+    request_gets_504_at_its_deadline => {
         let (_store, one, two) = pair("b").await;
         two.target.set(Mode::Hangs);
         let answer = one.ask_within("POST", "/post/b/", "id1", "x", 200).await;
         assert_eq!(status(&answer), "504", "{answer}");
-        assert_eq!(runs([&one, &two], "id1"), 1);
+        assert_eq!(arrivals([&one, &two], "id1"), 1);
     }
 
     body_beyond_the_limit_gets_413 => {
@@ -263,7 +265,7 @@
         };
         let answer = raw::until_closed(one.callers(), chunked("id1", 2_100_000).as_bytes()).await;
         assert_eq!(status(&answer), "413", "{answer}");
-        assert_eq!(runs([&one, &two], "id1"), 0);
+        assert_eq!(arrivals([&one, &two], "id1"), 0);
         let answer = raw::until_closed(one.callers(), chunked("id2", 1_900_000).as_bytes()).await;
         assert_eq!(status(&answer), "200", "{answer}");
         let mut small = version(6, &["a", "b"]);
@@ -272,17 +274,17 @@
         until("6 is in force", async || one.version() == 6).await;
         let answer = raw::until_closed(one.callers(), chunked("id3", 400_000).as_bytes()).await;
         assert_eq!(status(&answer), "413", "{answer}");
-        assert_eq!(runs([&one, &two], "id3"), 0);
+        assert_eq!(arrivals([&one, &two], "id3"), 0);
     }
 
-    drained_target_gets_nothing_also_after_a_restart => {
+    drained_target_gets_no_requests_even_after_a_restart_of_its_node => {
         let (_store, one, mut two) = pair("b").await;
         assert_eq!(status(&two.heartbeat("i1", 2, "draining").await), "200");
         assert_eq!(status(&one.ask("GET", "/get/b/", "id1", "").await), "503");
         two.stop().await;
         two.run();
         two.until_ready().await;
-        // A heartbeat from before the drain comes late.
+        // A heartbeat from before the drain arrives late.
         two.heartbeat("i1", 1, "ready").await;
         assert_eq!(status(&one.ask("GET", "/get/b/", "id2", "").await), "503");
         assert!(two.target.seen().is_empty());
@@ -292,24 +294,24 @@
         until("it serves", async || status(&one.ask("GET", "/get/b/", "id3", "").await) == "200").await;
     }
 
-    target_that_deregisters_first_gets_nothing => {
+    target_that_leaves_without_a_drain_gets_no_requests => {
         let (_store, one, two) = pair("b").await;
         assert_eq!(status(&two.deregister("i1").await), "200");
         assert_eq!(status(&one.ask("GET", "/get/b/", "id1", "").await), "503");
         assert!(two.target.seen().is_empty());
     }
 
-    drain_is_acknowledged_only_once_it_is_kept => {
+    drain_is_acknowledged_only_once_it_is_stored => {
         let (store, one, two) = pair("b").await;
         store.set(StoreMode::Refusing);
         assert_eq!(status(&two.heartbeat("i1", 2, "draining").await), "503");
-        // It holds all the same.
+        // The drain is in effect nevertheless.
         assert_eq!(status(&one.ask("GET", "/get/b/", "id1", "").await), "503");
         store.set(StoreMode::Up);
-        until("it is kept", async || status(&two.heartbeat("i1", 3, "draining").await) == "200").await;
+        until("it is stored", async || status(&two.heartbeat("i1", 3, "draining").await) == "200").await;
     }
 
-    bad_heartbeat_gets_400 => {
+    invalid_heartbeat_gets_400 => {
         let (_store, one, _two) = pair("b").await;
         for body in ["", "{}", "{\"address\": 3}", "\u{0}"] {
             let answer = one.tell("/api/instances/i1/heartbeat", body).await;
@@ -319,26 +321,26 @@
         assert_eq!(status(&one.ask("GET", "/get/a/", "id1", "").await), "200");
     }
 
-    target_that_starts_again_under_its_id_serves_at_once => {
+    target_restarted_under_its_id_serves_at_once => {
         let (_store, one, two) = pair("b").await;
-        let until_served = async |id: &str| until("the new life is known", async || {
+        let until_served = async |id: &str| until("the new instance is known", async || {
             status(&one.ask("GET", "/get/b/", id, "").await) == "200"
         }).await;
         assert_eq!(status(&two.heartbeat("i9@1000", 40, "ready").await), "200");
         until_served("id1").await;
-        // It said that it leaves, crashed, and starts again under the id: its counts too.
+        // It drains, crashes, and restarts under its id, with sequence numbers from 1 again.
         assert_eq!(status(&two.heartbeat("i9@1000", 41, "draining").await), "200");
         assert_eq!(status(&one.ask("GET", "/get/b/", "id2", "").await), "503");
         assert_eq!(status(&two.heartbeat("i9@2000", 1, "ready").await), "200");
         until_served("id3").await;
-        // A cut held this one back.
+        // A late heartbeat of the former instance, delayed by a partition.
         assert_eq!(status(&two.heartbeat("i9@1000", 42, "draining").await), "200");
         assert_eq!(status(&one.ask("GET", "/get/b/", "id4", "").await), "200");
         let meant = two.target.seen();
         assert!(meant.iter().all(|seen| seen.header("rilltrack-expect-instance") == "i9" || seen.header("rilltrack-expect-instance") == "i-n2"), "{meant:?}");
     }
 
-    entries_of_other_writers_harm_no_others => {
+    invalid_records_of_other_writers_affect_no_other_records => {
         let (store, one, two) = pair("b").await;
         for (key, value) in [
             (&b"n7"[..], &b"\xc1"[..]),
@@ -350,18 +352,18 @@
         }
         store.write_torn(b"\xffn9");
         store.write_torn(b"");
-        // A version that can't be used, behind one that can.
+        // An invalid version behind a valid one.
         store.publish(&version(8, &["a", "b"]));
         store.publish_bytes(b"{\"version\": 9, \"resources\": 3}");
         until("8 is in force", async || one.version() == 8 && two.version() == 8).await;
-        // Members go on being read, by those who are there and by one that starts.
+        // Running nodes, and one that starts now, still read the other member records.
         let three = Host::start(&store, "n3", "here", "b").await;
         until("it is known", async || one.knows("n3")).await;
         assert!(three.knows("n1") && three.knows("n2") && three.version() == 8);
         assert_eq!(status(&one.ask("GET", "/get/b/", "id1", "").await), "200");
     }
 
-    heartbeat_of_another_service_names_no_target => {
+    heartbeat_with_wrong_values_is_rejected => {
         let (_store, one, two) = pair("b").await;
         let body = two.heartbeat_body("i8", 1, "ready").to_string();
         let call = "/api/instances/i8/heartbeat";
@@ -381,7 +383,7 @@
         assert_eq!(status(&one.ask("GET", "/get/b/", "id1", "").await), "200");
     }
 
-    store_that_is_away_stops_nothing => {
+    requests_are_served_while_the_store_is_unreachable => {
         let (store, one, two) = pair("b").await;
         store.set(StoreMode::Silent);
         assert_eq!(status(&one.ask("GET", "/get/b/", "id1", "").await), "200");
@@ -390,20 +392,20 @@
         until("9 is in force", async || one.version() == 9 && two.version() == 9).await;
     }
 
-    read_that_was_lost_in_a_silence_is_begun_anew => {
+    read_that_the_store_never_answers_is_restarted => {
         let (store, one, two) = pair("b").await;
-        // Reads that wait now stay without an answer for ever.
+        // The waiting reads will never be answered.
         store.set(StoreMode::Silent);
         tokio::time::sleep(std::time::Duration::from_millis(100)).await;
         store.set(StoreMode::Up);
         store.publish(&version(9, &["a", "b"]));
         let since = std::time::Instant::now();
         until("9 is in force", async || one.version() == 9 && two.version() == 9).await;
-        // Not a matter of load: the wait that must not be waited out is 25 s long.
+        // Not sensitive to load: nodes must not wait for the end of the read, which is 25 s long.
         assert!(since.elapsed().as_secs() < 20);
     }
 
-    versions_that_came_while_the_store_was_away_are_not_read_one_by_one => {
+    versions_published_during_an_outage_of_the_store_are_not_all_read => {
         let (store, one, two) = pair("b").await;
         store.set(StoreMode::Refusing);
         until("a reader has failed", async || one.is_blind() || two.is_blind()).await;
@@ -419,7 +421,7 @@
         assert!(store.given() - before < length * missed / 2, "{} bytes", store.given() - before);
     }
 
-    store_that_is_down_is_asked_by_few => {
+    failing_store_has_few_readers => {
         let store = Store::start().await;
         store.publish(&version(5, &["a"]));
         let mut hosts = Vec::new();
@@ -429,8 +431,8 @@
         until("one reads", async || hosts.iter().filter(|host| host.reads()).count() == 1).await;
         store.set(StoreMode::Refusing);
         let readers = || hosts.iter().filter(|host| host.reads()).count();
-        until("others stand in", async || readers() == 4).await;
-        // Each further one would follow within a second.
+        until("there are four readers", async || readers() == 4).await;
+        // A further reader would start within a second.
         tokio::time::sleep(std::time::Duration::from_secs(3)).await;
         assert_eq!(readers(), 4);
         store.set(StoreMode::Up);
@@ -439,7 +441,7 @@
         until("9 is in force", async || hosts.iter().all(|host| host.version() == 9)).await;
     }
 
-    restarted_node_has_its_first_version_from_a_peer => {
+    restarted_node_gets_its_first_version_from_a_peer => {
         let (store, one, mut two) = pair("b").await;
         let before = store.calls_on("/api/log-newest", "keyed.op");
         two.stop().await;
@@ -450,7 +452,7 @@
         let _ = &one;
     }
 
-    process_that_leaves_answers_what_it_has => {
+    leaving_node_answers_requests_in_progress => {
         let (_store, mut one, two) = pair("b").await;
         two.target.set(Mode::Hangs);
         let callers = one.callers();
@@ -459,12 +461,12 @@
                            Rilltrack-Attempt-Id: id1\r\nRilltrack-Deadline-Ms: 600\r\n\r\n";
             raw::until_closed(callers, request.as_bytes()).await
         });
-        until("it is at the target", async || runs([&one, &two], "id1") == 1).await;
+        until("it is at the target", async || arrivals([&one, &two], "id1") == 1).await;
         one.stop().await;
         assert_eq!(status(&asked.await.unwrap()), "504");
     }
 
-    leaving_node_serves_other_nodes_until_shortly_before_its_end => {
+    leaving_node_serves_peers_until_shortly_before_its_end => {
         let (_store, one, mut two) = pair("b").await;
         let address = two.ready_address();
         let asked = async {
@@ -473,22 +475,22 @@
         };
         let ((), answer) = tokio::join!(two.stop(), asked);
         assert_eq!(status(&answer), "200", "{answer}");
-        assert_eq!(runs([&one, &two], "id1"), 1);
+        assert_eq!(arrivals([&one, &two], "id1"), 1);
     }
 
-    restarted_node_opens_to_its_target_before_a_heartbeat => {
+    restarted_node_serves_its_target_before_a_heartbeat => {
         let (_store, one, mut two) = pair("b").await;
         two.stop().await;
         two.run();
         two.until_ready().await;
-        // No heartbeat comes in this life.
+        // The restarted node has received no heartbeat.
         until("it serves", async || status(&one.ask("GET", "/get/b/", "id1", "").await) == "200").await;
         two.stop().await;
-        // Another instance has taken its place meanwhile.
+        // Meanwhile, another instance has replaced the target.
         two.target.set(Mode::Other);
         two.run();
         two.until_ready().await;
-        until("it is found out", async || {
+        until("the replacement is detected", async || {
             let answer = one.ask("GET", "/get/b/", "id2", "").await;
             assert_eq!(status(&answer), "503", "{answer}");
             answer.contains("no target")
@@ -496,7 +498,7 @@
         .await;
     }
 
-    large_answer_is_asked_for_again_where_it_broke_off => {
+    interrupted_download_is_retried => {
         let (store, one, two) = pair("a").await;
         let mut version = version(6, &["a"]);
         for resource in version["resources"].as_array_mut().unwrap() {
@@ -513,7 +515,7 @@
         }
     }
 
-    quiet_store_is_asked_seldom => {
+    store_without_changes_gets_few_reads => {
         let (store, one, two) = pair("b").await;
         let before = store.calls("/api/log-read") + store.calls("/api/log-newest");
         for i in 0..20 {
