--- a/standins/src/load/model.rs
+++ b/standins/src/load/model.rs
@@ -152,7 +152,7 @@
             Event::Crossed(request) => self.crossed(request),
             Event::GiveUp(request, count) => self.give_up(request, count),
             Event::Done(request) => self.done(request),
-            Event::Return(request) => self.hear(request),
+            Event::Return(request) => self.handle_result(request),
         }
     }
 
@@ -274,8 +274,8 @@
             .balance
             .start(&choice.member, now);
         self.figures.kinds[kind].offers += 1;
-        let way = self.way(request);
-        self.schedule(way, Event::Reach(request));
+        let delay = self.one_way_delay(request);
+        self.schedule(delay, Event::Reach(request));
     }
 
     /// Returns the description of a request by which its attempts are decided.
@@ -303,7 +303,7 @@
     }
 
     /// Returns the one-way delay between the caller's node and the target's node.
-    fn way(&self, request: usize) -> Duration {
+    fn one_way_delay(&self, request: usize) -> Duration {
         let Request { home, at, .. } = self.requests[request];
         let domain = |host: usize| self.fleet.hosts[host].domain;
         match () {
@@ -315,7 +315,7 @@
 
     /// Handles the head of a request at the chosen host, as `Ingress` does.
     fn reach(&mut self, request: usize) {
-        if !self.carries(request) {
+        if !self.may_run(request) {
             let refusal = Refusal::not_run("no allowance for its calls", SHED_AGAIN);
             let arrived = false;
             return self.answer(request, Ended::Refused { refusal, arrived }, None);
@@ -341,7 +341,7 @@
     }
 
     /// Returns whether the target may run a request: a repeat needs a budget for its calls.
-    fn carries(&mut self, request: usize) -> bool {
+    fn may_run(&mut self, request: usize) -> bool {
         let now = self.instant();
         let held = &self.requests[request];
         let nodes = self.fleet.hosts.len();
@@ -402,6 +402,7 @@
         }
     }
 
+    /// Returns the usual run time of the request's route, as measured by the caller's node.
     fn usual(&self, request: usize) -> Option<Duration> {
         let held = &self.requests[request];
         self.fleet.hosts[held.home]
@@ -540,12 +541,12 @@
             is_large: is_large(body),
         };
         self.requests[request].outcome = Some((ended, report));
-        let way = self.way(request);
-        self.schedule(way, Event::Return(request));
+        let delay = self.one_way_delay(request);
+        self.schedule(delay, Event::Return(request));
     }
 
     /// Handles the result of an attempt at the caller's node.
-    fn hear(&mut self, request: usize) {
+    fn handle_result(&mut self, request: usize) {
         let now = self.instant();
         let held = &mut self.requests[request];
         let (ended, report) = held.outcome.take().expect("sent before it returns");
@@ -587,7 +588,7 @@
                     self.schedule(again, Event::Begin(request));
                 } else {
                     self.count(request, |count| count.refused += 1);
-                    self.tell_parent(request, false);
+                    self.report_to_parent(request, false);
                 }
             }
             Err(_) => self.fail(request),
@@ -613,12 +614,12 @@
             count.earned += worth;
             count.took.note(took);
         });
-        self.tell_parent(request, is_there);
+        self.report_to_parent(request, is_there);
     }
 
     fn fail(&mut self, request: usize) {
         self.count(request, |count| count.failed += 1);
-        self.tell_parent(request, false);
+        self.report_to_parent(request, false);
     }
 
     fn count(&mut self, request: usize, note: impl FnOnce(&mut super::Count)) {
@@ -630,7 +631,7 @@
 
     /// Reports the end of a call to the run that sent it; the run continues after its last
     /// call.
-    fn tell_parent(&mut self, request: usize, is_served: bool) {
+    fn report_to_parent(&mut self, request: usize, is_served: bool) {
         let Some(parent) = self.requests[request].parent else {
             return;
         };
--- a/standins/tests/whole_path.rs
+++ b/standins/tests/whole_path.rs
@@ -17,7 +17,7 @@
     store.publish(&version(5, &["a", "b"]));
     let one = Host::start(&store, "n1", "here", "a").await;
     let two = Host::start(&store, "n2", "here", service).await;
-    until("they know each other", async || {
+    until("both nodes know each other", async || {
         one.knows("n2") && two.knows("n1")
     })
     .await;
@@ -75,7 +75,7 @@
         let store = Store::start().await;
         let mut host = Host::stopped(&store, "n1", "here", "a").await;
         host.run();
-        until("it listens", async || host.ready().await.starts_with("HTTP")).await;
+        until("the node listens", async || host.ready().await.starts_with("HTTP")).await;
         assert!(host.ready().await.starts_with("HTTP/1.1 503"));
         let answer = host.ask("GET", "/get/a/", "id1", "").await;
         assert_eq!(status(&answer), "503", "{answer}");
@@ -88,14 +88,14 @@
     versions_reach_all_nodes_and_never_go_back => {
         let (store, one, two) = pair("b").await;
         store.publish(&version(9, &["a"]));
-        until("9 is in force", async || one.version() == 9 && two.version() == 9).await;
+        until("version 9 is in force", async || one.version() == 9 && two.version() == 9).await;
         assert_eq!(status(&one.ask("GET", "/get/b/", "id1", "").await), "404");
         store.publish(&version(7, &["a", "b"]));
         let mut bad = version(11, &["a"]);
         bad["resources"][2]["spec"]["service"] = "nowhere".into();
         store.publish(&bad);
         store.publish(&version(12, &["a", "b"]));
-        until("12 is in force", async || one.version() == 12 && two.version() == 12).await;
+        until("version 12 is in force", async || one.version() == 12 && two.version() == 12).await;
         assert_eq!(status(&one.ask("GET", "/get/b/", "id2", "").await), "200");
     }
 
@@ -104,26 +104,26 @@
         store.forget_history();
         store.publish(&version(9, &["a"]));
         store.forget_history();
-        until("9 is in force", async || one.version() == 9 && two.version() == 9).await;
+        until("version 9 is in force", async || one.version() == 9 && two.version() == 9).await;
     }
 
     version_reaches_a_node_that_cannot_use_the_store => {
         let (store, one, two) = pair("b").await;
         two.store.set_own(StoreMode::Refusing);
         store.publish(&version(9, &["a", "b"]));
-        until("9 is in force", async || one.version() == 9 && two.version() == 9).await;
+        until("version 9 is in force", async || one.version() == 9 && two.version() == 9).await;
     }
 
     write_whose_answer_was_lost_is_retried => {
         let store = Store::start().await;
         store.publish(&version(5, &["a"]));
         let one = Host::start(&store, "n1", "here", "a").await;
-        until("it is written", async || one.knows("n1")).await;
+        until("the member record is written", async || one.knows("n1")).await;
         store.set(StoreMode::LosingAnswers);
         let draining = one.heartbeat("i1", 2, "draining").await;
         assert_eq!(status(&draining), "503", "not known to be stored: {draining}");
         store.set(StoreMode::Up);
-        until("it is acknowledged", async || {
+        until("the drain is acknowledged", async || {
             status(&one.heartbeat("i1", 3, "draining").await) == "200"
         })
         .await;
@@ -149,7 +149,7 @@
     request_that_an_unresponsive_node_did_not_accept_runs_elsewhere => {
         let (store, one, mut two) = pair("b").await;
         let three = Host::start(&store, "n3", "here", "b").await;
-        until("it is known", async || one.knows("n3")).await;
+        until("n3 is known", async || one.knows("n3")).await;
         two.stop().await;
         // Accepts connections and sends nothing, as a frozen host does.
         let listener = tokio::net::TcpListener::bind(two.inbound()).await.unwrap();
@@ -271,7 +271,7 @@
         let mut small = version(6, &["a", "b"]);
         small["resources"][0]["spec"]["maxBodyBytes"] = 300_000.into();
         store.publish(&small);
-        until("6 is in force", async || one.version() == 6).await;
+        until("version 6 is in force", async || one.version() == 6).await;
         let answer = raw::until_closed(one.callers(), chunked("id3", 400_000).as_bytes()).await;
         assert_eq!(status(&answer), "413", "{answer}");
         assert_eq!(arrivals([&one, &two], "id3"), 0);
@@ -291,7 +291,7 @@
         // Its successor is another instance.
         two.heartbeat("i2", 1, "ready").await;
         until("the successor is known", async || one.knows("n2")).await;
-        until("it serves", async || status(&one.ask("GET", "/get/b/", "id3", "").await) == "200").await;
+        until("the target is used", async || status(&one.ask("GET", "/get/b/", "id3", "").await) == "200").await;
     }
 
     target_that_leaves_without_a_drain_gets_no_requests => {
@@ -308,7 +308,7 @@
         // The drain is in effect nevertheless.
         assert_eq!(status(&one.ask("GET", "/get/b/", "id1", "").await), "503");
         store.set(StoreMode::Up);
-        until("it is stored", async || status(&two.heartbeat("i1", 3, "draining").await) == "200").await;
+        until("the drain is stored", async || status(&two.heartbeat("i1", 3, "draining").await) == "200").await;
     }
 
     invalid_heartbeat_gets_400 => {
@@ -355,10 +355,10 @@
         // An invalid version behind a valid one.
         store.publish(&version(8, &["a", "b"]));
         store.publish_bytes(b"{\"version\": 9, \"resources\": 3}");
-        until("8 is in force", async || one.version() == 8 && two.version() == 8).await;
+        until("version 8 is in force", async || one.version() == 8 && two.version() == 8).await;
         // Running nodes, and one that starts now, still read the other member records.
         let three = Host::start(&store, "n3", "here", "b").await;
-        until("it is known", async || one.knows("n3")).await;
+        until("n3 is known", async || one.knows("n3")).await;
         assert!(three.knows("n1") && three.knows("n2") && three.version() == 8);
         assert_eq!(status(&one.ask("GET", "/get/b/", "id1", "").await), "200");
     }
@@ -389,7 +389,7 @@
         assert_eq!(status(&one.ask("GET", "/get/b/", "id1", "").await), "200");
         store.publish(&version(9, &["a", "b"]));
         store.set(StoreMode::Up);
-        until("9 is in force", async || one.version() == 9 && two.version() == 9).await;
+        until("version 9 is in force", async || one.version() == 9 && two.version() == 9).await;
     }
 
     read_that_the_store_never_answers_is_restarted => {
@@ -400,7 +400,7 @@
         store.set(StoreMode::Up);
         store.publish(&version(9, &["a", "b"]));
         let since = std::time::Instant::now();
-        until("9 is in force", async || one.version() == 9 && two.version() == 9).await;
+        until("version 9 is in force", async || one.version() == 9 && two.version() == 9).await;
         // Not sensitive to load: nodes must not wait for the end of the read, which is 25 s long.
         assert!(since.elapsed().as_secs() < 20);
     }
@@ -417,7 +417,7 @@
         let length = version(10, &["a", "b"]).to_string().len() as u64;
         store.set(StoreMode::Up);
         let last = 9 + missed;
-        until("the last is in force", async || one.version() == last && two.version() == last).await;
+        until("the last version is in force", async || one.version() == last && two.version() == last).await;
         assert!(store.given() - before < length * missed / 2, "{} bytes", store.given() - before);
     }
 
@@ -428,7 +428,7 @@
         for i in 0..9 {
             hosts.push(Host::start(&store, &format!("n{i}"), "here", "a").await);
         }
-        until("one reads", async || hosts.iter().filter(|host| host.reads()).count() == 1).await;
+        until("one node reads the store", async || hosts.iter().filter(|host| host.reads()).count() == 1).await;
         store.set(StoreMode::Refusing);
         let readers = || hosts.iter().filter(|host| host.reads()).count();
         until("there are four readers", async || readers() == 4).await;
@@ -436,9 +436,9 @@
         tokio::time::sleep(std::time::Duration::from_secs(3)).await;
         assert_eq!(readers(), 4);
         store.set(StoreMode::Up);
-        until("one reads again", async || readers() == 1).await;
+        until("one node reads the store again", async || readers() == 1).await;
         store.publish(&version(9, &["a"]));
-        until("9 is in force", async || hosts.iter().all(|host| host.version() == 9)).await;
+        until("version 9 is in force", async || hosts.iter().all(|host| host.version() == 9)).await;
     }
 
     restarted_node_gets_its_first_version_from_a_peer => {
@@ -461,7 +461,7 @@
                            Rilltrack-Attempt-Id: id1\r\nRilltrack-Deadline-Ms: 600\r\n\r\n";
             raw::until_closed(callers, request.as_bytes()).await
         });
-        until("it is at the target", async || arrivals([&one, &two], "id1") == 1).await;
+        until("the request is at the target", async || arrivals([&one, &two], "id1") == 1).await;
         one.stop().await;
         assert_eq!(status(&asked.await.unwrap()), "504");
     }
@@ -470,7 +470,7 @@
         let (_store, one, mut two) = pair("b").await;
         let address = two.ready_address();
         let asked = async {
-            until("it leaves", async || ready(address).await.starts_with("HTTP/1.1 503")).await;
+            until("the node is leaving", async || ready(address).await.starts_with("HTTP/1.1 503")).await;
             one.ask("GET", "/get/b/", "id1", "").await
         };
         let ((), answer) = tokio::join!(two.stop(), asked);
@@ -484,7 +484,7 @@
         two.run();
         two.until_ready().await;
         // The restarted node has received no heartbeat.
-        until("it serves", async || status(&one.ask("GET", "/get/b/", "id1", "").await) == "200").await;
+        until("the target is used", async || status(&one.ask("GET", "/get/b/", "id1", "").await) == "200").await;
         two.stop().await;
         // Meanwhile, another instance has replaced the target.
         two.target.set(Mode::Other);
@@ -507,7 +507,7 @@
             }
         }
         store.publish(&version);
-        until("6 is in force", async || one.version() == 6 && two.version() == 6).await;
+        until("version 6 is in force", async || one.version() == 6 && two.version() == 6).await;
         one.target.set(Mode::Halves);
         for i in 0..4 {
             let answer = one.ask("GET", "/get/a/", &format!("id{i}"), "").await;
