--- a/examples/choice.rs
+++ b/examples/choice.rs
@@ -5,7 +5,7 @@
 use std::{hint::black_box, net::SocketAddr, time::Instant};
 
 use rilltrack::{
-    coordination::decision::balance::{Balance, Wish},
+    coordination::decision::balance::{Balancer, Criteria},
     id::{Incarnation, Name, Node},
     protocol::dialect::Load,
     state::{
@@ -36,18 +36,18 @@
     }
     let (node, route) = ("me".parse::<Node>()?, "r".parse::<Name>()?);
     let (service, domain) = ("s".parse::<Name>()?, "d0".parse::<Name>()?);
-    let wish = Wish {
+    let criteria = Criteria {
         node: &node,
         route: &route,
         service: &service,
         domain: &domain,
         bytes: 0,
-        own: Load::default(),
+        own_load: Load::default(),
     };
-    let mut balance = Balance::default();
+    let mut balancer = Balancer::default();
     let started = Instant::now();
     for _ in 0..CHOICES {
-        black_box(balance.choose(&table, wish, |_| true, Instant::now()));
+        black_box(balancer.choose(&table, criteria, |_| true, Instant::now()));
     }
     Ok(started.elapsed().as_secs_f64() * 1e6 / f64::from(CHOICES))
 }
--- a/src/coordination/decision/balance.rs
+++ b/src/coordination/decision/balance.rs
@@ -17,7 +17,7 @@
 };
 
 use crate::{
-    coordination::decision::reach::{Loss, Reach},
+    coordination::decision::reach::{Failure, Reachability},
     id::{Incarnation, Instance, Name, Node},
     protocol::dialect::{Load, Pace},
     state::member::{Member, Status, Table},
@@ -94,7 +94,7 @@
 
 /// Observations of the other nodes and of this node's own target, by which nodes are chosen.
 #[derive(Debug, Default)]
-pub struct Balance {
+pub struct Balancer {
     peers: HashMap<Node, Peer>,
     /// The mean run time of a request of each route, in seconds.
     run_times: HashMap<Name, f64>,
@@ -104,7 +104,7 @@
     /// seconds.
     transfer_times: HashMap<Name, f64>,
     /// Which nodes are unreachable.
-    pub reach: Reach,
+    pub reachability: Reachability,
 }
 
 /// Observations of one node and its target.
@@ -156,7 +156,7 @@
 
 /// How a request to a node ended.
 #[derive(Clone, Copy, Debug)]
-pub enum End {
+pub enum AttemptResult {
     /// The target answered after this time.
     Answered(Duration),
     /// The node refused the request; this is no failure of the target.
@@ -170,12 +170,12 @@
     /// No answer came in time.
     Late,
     /// The node was unreachable.
-    Lost(Loss),
+    Lost(Failure),
     /// The caller went away, which is no evidence about the node.
     Abandoned,
 }
 
-impl End {
+impl AttemptResult {
     /// Returns its label value in metrics.
     pub const fn name(self) -> &'static str {
         match self {
@@ -185,8 +185,8 @@
             Self::Replaced => "replaced",
             Self::Failed => "failed",
             Self::Late => "late",
-            Self::Lost(Loss::Silent) => "silent",
-            Self::Lost(Loss::Closed) => "closed",
+            Self::Lost(Failure::Silent) => "silent",
+            Self::Lost(Failure::Closed) => "closed",
             Self::Abandoned => "abandoned",
         }
     }
@@ -194,19 +194,19 @@
 
 /// Counts of the targets of a service.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Count {
+pub struct TargetCounts {
     /// Known targets.
     pub known: usize,
     /// Draining targets.
     pub draining: usize,
     /// Excluded targets that are not draining: unreachable, ejected, or owing answers for
     /// long.
-    pub passed_over: usize,
+    pub excluded: usize,
 }
 
 /// The request and the node that a choice is made for.
 #[derive(Clone, Copy, Debug)]
-pub struct Wish<'a> {
+pub struct Criteria<'a> {
     /// The node that chooses. It reaches its own target without a network path.
     pub node: &'a Node,
     /// The route of the request.
@@ -218,7 +218,7 @@
     /// The size of its body, in bytes.
     pub bytes: usize,
     /// The load of the target beside the node.
-    pub own: Load,
+    pub own_load: Load,
 }
 
 /// What a node reports of its target with an answer.
@@ -227,11 +227,11 @@
     /// The target's load.
     pub load: Option<Load>,
     /// The target's slowdown.
-    pub pace: Option<Pace>,
+    pub slowdown: Option<Pace>,
     /// The run time of the request. Without it, the response time is used, which includes
     /// the network path and the wait for a slot, and a target that gets many uploads seems
     /// slower than it is.
-    pub ran: Option<Duration>,
+    pub run_time: Option<Duration>,
     /// Whether the request's body was large.
     pub is_large: bool,
 }
@@ -301,7 +301,7 @@
     }
 }
 
-impl Balance {
+impl Balancer {
     fn peer(&mut self, member: &Member, now: Instant) -> &mut Peer {
         let peer = self
             .peers
@@ -323,25 +323,25 @@
     pub fn choose(
         &mut self,
         table: &Table,
-        wish: Wish<'_>,
+        criteria: Criteria<'_>,
         is_allowed: impl Fn(&Member) -> bool,
         now: Instant,
     ) -> Option<Choice> {
         let serves = |member: &Arc<Member>| {
             let mut targets = member.targets.iter();
-            let has_target = targets.any(|t| t.service == *wish.service && !t.draining);
+            let has_target = targets.any(|t| t.service == *criteria.service && !t.draining);
             has_target && member.status == Status::Alive && is_allowed(member)
         };
-        let [before, near, after] = table.offers_around(wish.service, wish.domain);
+        let [before, near, after] = table.offers_around(criteria.service, criteria.domain);
         let candidates = before.len() + near.len() + after.len();
         let mut is_eligible =
-            |member: &Arc<Member>| serves(member) && !self.is_excluded(member, wish.node, now);
+            |member: &Arc<Member>| serves(member) && !self.is_excluded(member, criteria.node, now);
         let mut drawn = draw([near, &[]], NEAR_DRAWS, &mut is_eligible);
         drawn.extend(draw([before, after], FAR_DRAWS, &mut is_eligible));
         // The first of equal costs is chosen, and must not be the same at all nodes.
         fastrand::shuffle(&mut drawn);
         let estimates = drawn.into_iter().map(|member| {
-            let (usage, cost) = self.estimate(member, &wish, now);
+            let (usage, cost) = self.estimate(member, &criteria, now);
             (member, usage, cost)
         });
         let best = estimates.min_by(|(_, _, one), (_, _, other)| one.total_cmp(other));
@@ -354,40 +354,46 @@
     }
 
     fn is_excluded(&mut self, member: &Member, me: &Node, now: Instant) -> bool {
-        let is_unreachable = member.node != *me && self.reach.is_lost(member);
+        let is_unreachable = member.node != *me && self.reachability.is_unreachable(member);
         is_unreachable || self.peer(member, now).is_excluded(now)
     }
 
     /// Returns the number of targets of a service, as the node `me` observes them.
-    pub fn count(&mut self, table: &Table, service: &Name, me: &Node, now: Instant) -> Count {
-        let mut count = Count::default();
+    pub fn count_targets(
+        &mut self,
+        table: &Table,
+        service: &Name,
+        me: &Node,
+        now: Instant,
+    ) -> TargetCounts {
+        let mut count = TargetCounts::default();
         for member in table.offers(service) {
             let mut targets = member.targets.iter();
             let is_draining = targets.any(|t| t.service == *service && t.draining);
             count.known += 1;
             count.draining += usize::from(is_draining);
             let is_excluded = self.is_excluded(member, me, now);
-            count.passed_over += usize::from(!is_draining && is_excluded);
+            count.excluded += usize::from(!is_draining && is_excluded);
         }
         count
     }
 
     /// Returns the usage of a target's slots with one more request, where 1 is full, and the
     /// expected time to its answer, in seconds.
-    fn estimate(&mut self, member: &Member, wish: &Wish<'_>, now: Instant) -> (f64, f64) {
-        let answer = self.answer_size(wish.route);
-        let is_large = is_large(wish.bytes) || is_large(answer);
+    fn estimate(&mut self, member: &Member, criteria: &Criteria<'_>, now: Instant) -> (f64, f64) {
+        let answer = self.answer_size(criteria.route);
+        let is_large = is_large(criteria.bytes) || is_large(answer);
         let means = if is_large {
             &self.transfer_times
         } else {
             &self.run_times
         };
-        let mean = means.get(wish.route).copied().unwrap_or(INITIAL_MEAN);
-        let target = member.target(wish.service);
+        let mean = means.get(criteria.route).copied().unwrap_or(INITIAL_MEAN);
+        let target = member.target(criteria.service);
         let slots = f64::from(target.map_or(1, |target| target.slots.max(1)));
         let peer = self.peer(member, now);
-        let requests = if member.node == *wish.node {
-            wish.own.running + wish.own.waiting
+        let requests = if member.node == *criteria.node {
+            criteria.own_load.running + criteria.own_load.waiting
         } else {
             peer.expected_requests(now)
         };
@@ -403,11 +409,11 @@
         let run_time = mean * slowdown * f64::from(1 + peer.failures);
         let crowding = CROWDING_COST * (usage - CROWDED_USAGE).max(0.0);
         let time = run_time * (1.0 + USAGE_COST * usage + crowding);
-        let path_cost = if member.domain == *wish.domain {
+        let path_cost = if member.domain == *criteria.domain {
             0.0
         } else {
             // `FAR_TRIP_COST` includes the bytes of an ordinary answer.
-            let bytes = wish.bytes + answer.saturating_sub(MIN_LARGE);
+            let bytes = criteria.bytes + answer.saturating_sub(MIN_LARGE);
             FAR_TRIP_COST + FAR_KILOBYTE_COST * bytes as f64 / 1024.0
         };
         (usage, time + path_cost)
@@ -421,13 +427,13 @@
     }
 
     /// Returns the mean size of an answer on a route, in bytes, if that is large; otherwise 0.
-    pub fn large_answer(&self, route: &Name) -> usize {
+    pub fn large_answer_size(&self, route: &Name) -> usize {
         let size = self.answer_size(route);
         if is_large(size) { size } else { 0 }
     }
 
     /// Records the size of an answer on a route, in bytes.
-    pub fn note_size(&mut self, route: &Name, bytes: usize) {
+    pub fn record_answer_size(&mut self, route: &Name, bytes: usize) {
         update_mean(&mut self.answer_sizes, route, bytes as f64);
     }
 
@@ -448,13 +454,13 @@
         &mut self,
         member: &Member,
         route: &Name,
-        end: End,
+        end: AttemptResult,
         report: Report,
         now: Instant,
     ) -> bool {
         let (slowdown, transfer_slowdown) = match end {
-            End::Answered(took) => {
-                let ran = report.ran.unwrap_or(took);
+            AttemptResult::Answered(took) => {
+                let ran = report.run_time.unwrap_or(took);
                 let is_large = report.is_large || is_large(self.answer_size(route));
                 let transfer = is_large.then(|| record_time(&mut self.transfer_times, route, took));
                 (record_time(&mut self.run_times, route, ran), transfer)
@@ -467,16 +473,19 @@
             peer.report = Some((load, now));
             peer.sent_since_report = 0;
         }
-        if !matches!(end, End::Lost(_) | End::Late | End::Abandoned) {
+        if !matches!(
+            end,
+            AttemptResult::Lost(_) | AttemptResult::Late | AttemptResult::Abandoned
+        ) {
             peer.heard_at = now;
             peer.ejections = 0;
             peer.ejected_until = None;
-            self.reach.hear(member);
+            self.reachability.record_answer(member);
         }
         let peer = self.peer(member, now);
         match end {
-            End::Answered(_) => {
-                let (newest, weight) = match report.pace {
+            AttemptResult::Answered(_) => {
+                let (newest, weight) = match report.slowdown {
                     Some(reported) => (reported, REPORT_WEIGHT),
                     None => (slowdown, NEWEST_WEIGHT),
                 };
@@ -489,20 +498,25 @@
                 peer.failures = peer.failures.saturating_sub(1);
                 false
             }
-            End::Refused | End::Abandoned => false,
-            End::Leaving => {
+            AttemptResult::Refused | AttemptResult::Abandoned => false,
+            AttemptResult::Leaving => {
                 peer.eject(now);
                 true
             }
-            End::Replaced => {
+            AttemptResult::Replaced => {
                 peer.ejected_until = Some(now + REPLACED_EJECTION);
                 true
             }
             // A node that answered other requests meanwhile is reachable; only its target is
             // slow.
-            End::Late => peer.is_overdue(now) && self.reach.lose(member, Loss::Silent, now),
-            End::Lost(loss) => self.reach.lose(member, loss, now),
-            End::Failed => {
+            AttemptResult::Late => {
+                peer.is_overdue(now)
+                    && self
+                        .reachability
+                        .record_failure(member, Failure::Silent, now)
+            }
+            AttemptResult::Lost(failure) => self.reachability.record_failure(member, failure, now),
+            AttemptResult::Failed => {
                 peer.failures = (peer.failures + 1).min(MAX_FAILURES);
                 let is_ejected = peer.failures == MAX_FAILURES;
                 if is_ejected {
@@ -517,11 +531,11 @@
     pub fn retain(&mut self, is_known: impl Fn(&Node) -> bool) {
         self.peers
             .retain(|node, peer| peer.outstanding > 0 || is_known(node));
-        self.reach.retain(is_known);
+        self.reachability.retain(is_known);
     }
 
     /// Returns the mean run time of a request of a route, if any has run.
-    pub fn usual(&self, route: &Name) -> Option<Duration> {
+    pub fn mean_run_time(&self, route: &Name) -> Option<Duration> {
         self.run_times
             .get(route)
             .map(|mean| Duration::from_secs_f64(*mean))
--- a/src/coordination/decision/reach.rs
+++ b/src/coordination/decision/reach.rs
@@ -45,7 +45,7 @@
 
 /// How a node failed to answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Loss {
+pub enum Failure {
     /// There was no response: the host or the network path to it is down.
     Silent,
     /// The host refused the connection: it is reachable, but the node's process is gone.
@@ -54,7 +54,7 @@
 
 /// The nodes and failure domains that are unreachable.
 #[derive(Debug, Default)]
-pub struct Reach {
+pub struct Reachability {
     nodes: HashMap<Node, Outage>,
     domains: HashMap<Name, Domain>,
 }
@@ -106,21 +106,21 @@
     }
 }
 
-impl Reach {
+impl Reachability {
     /// Returns whether a node, or its whole failure domain, is unreachable.
-    pub fn is_lost(&self, member: &Member) -> bool {
+    pub fn is_unreachable(&self, member: &Member) -> bool {
         !self.nodes.is_empty()
-            && (self.nodes.contains_key(&member.node) || self.is_cut(&member.domain))
+            && (self.nodes.contains_key(&member.node) || self.is_partitioned(&member.domain))
     }
 
     /// Returns whether a failure domain counts as partitioned.
-    pub fn is_cut(&self, domain: &Name) -> bool {
+    pub fn is_partitioned(&self, domain: &Name) -> bool {
         let domain = self.domains.get(domain);
         domain.is_some_and(|domain| domain.outage.is_some())
     }
 
     /// Records that a node failed to answer. Returns whether it was reachable before.
-    pub fn lose(&mut self, member: &Member, loss: Loss, now: Instant) -> bool {
+    pub fn record_failure(&mut self, member: &Member, failure: Failure, now: Instant) -> bool {
         let is_new = !self.nodes.contains_key(&member.node);
         let outage = self
             .nodes
@@ -135,9 +135,9 @@
         if outage.backoff.is_probing {
             outage.backoff.extend(MAX_PAUSE, now);
         }
-        match loss {
-            Loss::Closed => self.record_domain_answer(&member.domain),
-            Loss::Silent => self.record_no_response(member, is_new, now),
+        match failure {
+            Failure::Closed => self.record_domain_answer(&member.domain),
+            Failure::Silent => self.record_no_response(member, is_new, now),
         }
         is_new
     }
@@ -163,7 +163,7 @@
     }
 
     /// Records that a node answered. Returns whether it was unreachable before.
-    pub fn hear(&mut self, member: &Member) -> bool {
+    pub fn record_answer(&mut self, member: &Member) -> bool {
         if self.nodes.is_empty() {
             return false;
         }
@@ -191,7 +191,7 @@
     }
 
     /// Returns the members to probe now, and marks them as being probed.
-    pub fn due(&mut self, table: &Table, now: Instant) -> Vec<Arc<Member>> {
+    pub fn due_probes(&mut self, table: &Table, now: Instant) -> Vec<Arc<Member>> {
         let mut due = Vec::new();
         for (name, domain) in &mut self.domains {
             let Some(outage) = domain.outage.as_mut().filter(|o| o.backoff.is_due(now)) else {
@@ -204,12 +204,12 @@
             outage.backoff.is_probing = true;
         }
         let domains = &self.domains;
-        let is_cut = |name: &Name| domains.get(name).is_some_and(|d| d.outage.is_some());
+        let is_partitioned = |name: &Name| domains.get(name).is_some_and(|d| d.outage.is_some());
         for (node, outage) in &mut self.nodes {
             if due.len() >= MAX_PROBES {
                 break;
             }
-            if outage.backoff.is_due(now) && !is_cut(&outage.domain) {
+            if outage.backoff.is_due(now) && !is_partitioned(&outage.domain) {
                 outage.backoff.is_probing = true;
                 due.extend(table.get(node).cloned());
             }
@@ -218,12 +218,12 @@
     }
 
     /// Returns when the next probe is due, or `None` if there is none to wait for.
-    pub fn next(&self) -> Option<Instant> {
+    pub fn next_probe(&self) -> Option<Instant> {
         let partitions = self.domains.values().filter_map(|d| d.outage.as_ref());
         let nodes = self
             .nodes
             .values()
-            .filter(|outage| !self.is_cut(&outage.domain));
+            .filter(|outage| !self.is_partitioned(&outage.domain));
         let waiting = partitions
             .chain(nodes)
             .filter(|outage| !outage.backoff.is_probing)
--- a/src/coordination/host.rs
+++ b/src/coordination/host.rs
@@ -20,7 +20,7 @@
         decision::{
             age::Ages,
             allowance::{Allowance, Rule},
-            balance::{self, Balance},
+            balance::{self, Balancer},
             split::Split,
         },
         flow::Flow,
@@ -77,7 +77,7 @@
     /// The known members.
     pub members: RwLock<Table>,
     /// Load, speed and failures of other nodes' targets, for target selection.
-    pub balance: Mutex<Balance>,
+    pub balancer: Mutex<Balancer>,
     /// The retry budget.
     pub allowance: Mutex<Allowance>,
     /// Estimates of how long callers have been retrying.
@@ -174,7 +174,7 @@
             gate: Gate::new(),
             local: Mutex::new(Local::new(settings.heartbeat)),
             members: RwLock::default(),
-            balance: Mutex::default(),
+            balancer: Mutex::default(),
             allowance: Mutex::new(Allowance::new(allowance_rule(&settings))),
             grace: Mutex::new(settings.grace),
             ages: Mutex::default(),
--- a/src/coordination/probe.rs
+++ b/src/coordination/probe.rs
@@ -8,7 +8,7 @@
 use crate::{
     coordination::{
         Error,
-        decision::reach::Loss,
+        decision::reach::Failure,
         host::Host,
         link::{Ask, Question},
     },
@@ -25,7 +25,7 @@
 /// Sends each probe when it is due; never returns.
 pub async fn keep(host: Arc<Host>, ask: Ask) {
     loop {
-        let next = host.balance.lock().reach.next();
+        let next = host.balancer.lock().reachability.next_probe();
         match next {
             // The end of a probe that is under way wakes this task.
             None => host.lost.notified().await,
@@ -42,8 +42,8 @@
 fn send_due(host: &Arc<Host>, ask: &Ask) {
     let due = {
         let members = host.members.read();
-        let mut balance = host.balance.lock();
-        balance.reach.due(&members, Instant::now())
+        let mut balancer = host.balancer.lock();
+        balancer.reachability.due_probes(&members, Instant::now())
     };
     for member in due {
         let (host, ask) = (host.clone(), ask.clone());
@@ -58,19 +58,22 @@
 async fn probe(host: &Host, ask: &Ask, member: &Member) {
     let answer = ask(member.peers, Question::Seen).await;
     let now = Instant::now();
-    let loss = match &answer {
+    let failure = match &answer {
         Ok(_) => {
-            let was_unreachable = host.balance.lock().reach.hear(member);
+            let was_unreachable = host.balancer.lock().reachability.record_answer(member);
             if was_unreachable {
                 note!(host.journal, Event::Returned, target = member.node);
             }
             None
         }
-        Err(Error::Unreachable(_)) => Some(Loss::Closed),
-        Err(_) => Some(Loss::Silent),
+        Err(Error::Unreachable(_)) => Some(Failure::Closed),
+        Err(_) => Some(Failure::Silent),
     };
-    if let Some(loss) = loss {
-        host.balance.lock().reach.lose(member, loss, now);
+    if let Some(failure) = failure {
+        host.balancer
+            .lock()
+            .reachability
+            .record_failure(member, failure, now);
     }
     // An answer that can't be decoded has no versions, but shows that the node is reachable.
     let seen = answer.ok();
--- a/src/transport/relay/egress.rs
+++ b/src/transport/relay/egress.rs
@@ -15,7 +15,7 @@
 use crate::{
     coordination::{
         decision::{
-            balance::{self, Choice, Report, Wish},
+            balance::{self, Choice, Criteria, Report},
             quarantine::HELD_BACK,
             tries,
         },
@@ -142,7 +142,7 @@
         }
         let members = self.host.members.read();
         self.host
-            .balance
+            .balancer
             .lock()
             .retain(|node| members.get(node).is_some());
     }
@@ -310,8 +310,8 @@
             if let AttemptOutcome::Answered(response) = &outcome
                 && let Some(bytes) = response.body().length()
             {
-                let mut balance = self.host.balance.lock();
-                balance.note_size(&call.route.name, bytes);
+                let mut balancer = self.host.balancer.lock();
+                balancer.record_answer_size(&call.route.name, bytes);
             }
             if let Some(result) = attempts.take(call.route.kind, outcome.into()) {
                 return result;
@@ -323,13 +323,13 @@
     /// Returns the target for the next attempt. During a roll-out, the subsets of targets are
     /// searched in order of preference.
     fn choose_target(&self, call: &Call, bytes: usize, attempts: &Attempts) -> Option<Choice> {
-        let criteria = Wish {
+        let criteria = Criteria {
             node: &self.host.settings.node,
             route: &call.route.name,
             service: &call.service,
             domain: &self.host.settings.domain,
             bytes,
-            own: self.host.gate.load(),
+            own_load: self.host.gate.load(),
         };
         let members = self.host.members.read();
         let service = &call.service;
@@ -337,12 +337,12 @@
             .host
             .rollouts
             .lanes(service, &members, attempts.nodes.is_empty());
-        let mut balance = self.host.balance.lock();
+        let mut balancer = self.host.balancer.lock();
         for subset in subsets.into_iter().flatten() {
             let is_eligible = |member: &Member| {
                 !attempts.nodes.contains(&member.node) && subset.admits(member, service)
             };
-            let choice = balance.choose(&members, criteria, is_eligible, Instant::now());
+            let choice = balancer.choose(&members, criteria, is_eligible, Instant::now());
             if choice.is_some() {
                 return choice;
             }
@@ -392,7 +392,7 @@
     /// Logs the numbers of known, draining and excluded targets when none can be chosen.
     fn log_no_target(&self, call: &Call, attempts: &Attempts) {
         let members = self.host.members.read();
-        let count = self.host.balance.lock().count(
+        let count = self.host.balancer.lock().count_targets(
             &members,
             &call.service,
             &self.host.settings.node,
@@ -405,7 +405,7 @@
             service = call.service,
             known = count.known,
             draining = count.draining,
-            passed_over = count.passed_over,
+            passed_over = count.excluded,
             tried = attempts.nodes.len(),
             members_at = self.host.at(Stream::Members).unwrap_or(0),
         );
@@ -467,9 +467,12 @@
         let since = Instant::now();
         let mut guard = AttemptGuard::start(&self.host, member, &call.route.name, &call.service);
         let (usual_run_time, answer_size) = {
-            let balance = self.host.balance.lock();
+            let balancer = self.host.balancer.lock();
             let route = &call.route.name;
-            (balance.usual(route), balance.large_answer(route))
+            (
+                balancer.mean_run_time(route),
+                balancer.large_answer_size(route),
+            )
         };
         let arrival = attempts.arrival(&call.request(), usual_run_time, since);
         let arrival = match next::is_offered(call, &body) {
@@ -491,8 +494,8 @@
             let run_time = delivered.as_ref().ok().and_then(|r| r.extensions().get());
             guard.report = Report {
                 load: Some(self.host.gate.load()),
-                pace: Some(self.host.gate.pace()),
-                ran: run_time.map(|RunTime(run_time)| *run_time),
+                slowdown: Some(self.host.gate.pace()),
+                run_time: run_time.map(|RunTime(run_time)| *run_time),
                 is_large,
             };
             match delivered {
@@ -504,7 +507,13 @@
                 .send(call, member, &delivery, body, &mut guard)
                 .await
         };
-        self.record_attempt(call, member, &outcome, usual_run_time, guard.report.ran);
+        self.record_attempt(
+            call,
+            member,
+            &outcome,
+            usual_run_time,
+            guard.report.run_time,
+        );
         guard.finish(&outcome, since.elapsed());
         if let AttemptOutcome::Refused(refused) = &outcome {
             note!(
--- a/src/transport/relay/next.rs
+++ b/src/transport/relay/next.rs
@@ -13,8 +13,8 @@
 use crate::{
     coordination::{
         decision::{
-            balance::{self, End, Report},
-            reach::Loss,
+            balance::{self, AttemptResult, Report},
+            reach,
         },
         host::Host,
     },
@@ -102,7 +102,7 @@
             Ok(exchange) => exchange,
             Err(failure) => {
                 guard.node_failure = Some(node_failure(&failure));
-                if matches!(guard.node_failure, Some(End::Lost(_))) {
+                if matches!(guard.node_failure, Some(AttemptResult::Lost(_))) {
                     self.pool.forget(member.inbound);
                 }
                 return AttemptOutcome::Refused(refuse_failure(&failure));
@@ -116,8 +116,8 @@
         let refused = report.and_then(|report| {
             guard.report = Report {
                 load: Some(report.load),
-                pace: Some(report.pace),
-                ran: report.ran.map(Span::duration),
+                slowdown: Some(report.pace),
+                run_time: report.ran.map(Span::duration),
                 is_large,
             };
             self.host
@@ -248,12 +248,12 @@
 }
 
 /// Returns what a failure means for the reachability of the peer.
-fn node_failure(failure: &Failure) -> End {
+fn node_failure(failure: &Failure) -> AttemptResult {
     match failure {
-        Failure::TimedOut | Failure::Untaken => End::Late,
+        Failure::TimedOut | Failure::Untaken => AttemptResult::Late,
         // The body ended with an error on this side: the caller disconnected or sent too much.
-        Failure::Broken(error) if error.is_user() => End::Abandoned,
-        failure if failure.is_silence() => End::Lost(Loss::Silent),
-        _ => End::Lost(Loss::Closed),
+        Failure::Broken(error) if error.is_user() => AttemptResult::Abandoned,
+        failure if failure.is_silence() => AttemptResult::Lost(reach::Failure::Silent),
+        _ => AttemptResult::Lost(reach::Failure::Closed),
     }
 }
--- a/src/transport/relay/outstanding.rs
+++ b/src/transport/relay/outstanding.rs
@@ -7,7 +7,7 @@
 use crate::{
     coordination::{
         decision::{
-            balance::{End, Report},
+            balance::{AttemptResult, Report},
             tries::Ended,
         },
         host::Host,
@@ -75,15 +75,15 @@
     /// The node's report about its target.
     pub report: Report,
     /// How the node itself failed, as opposed to its target; `None` if it didn't.
-    pub node_failure: Option<End>,
+    pub node_failure: Option<AttemptResult>,
     /// How the attempt ended; abandoned unless it was finished.
-    result: End,
+    result: AttemptResult,
 }
 
 impl<'a> AttemptGuard<'a> {
     /// Returns a guard for a request of `route` for `service` that is sent to a member.
     pub fn start(host: &'a Host, member: &'a Member, route: &'a Name, service: &'a Name) -> Self {
-        host.balance.lock().start(member, Instant::now());
+        host.balancer.lock().start(member, Instant::now());
         Self {
             host,
             member,
@@ -91,7 +91,7 @@
             service,
             report: Report::default(),
             node_failure: None,
-            result: End::Abandoned,
+            result: AttemptResult::Abandoned,
         }
     }
 
@@ -99,17 +99,21 @@
     pub fn finish(mut self, outcome: &AttemptOutcome, elapsed: Duration) {
         self.result = match outcome {
             AttemptOutcome::Answered(response) if response.status().is_server_error() => {
-                End::Failed
+                AttemptResult::Failed
             }
-            AttemptOutcome::Answered(_) => End::Answered(elapsed),
+            AttemptOutcome::Answered(_) => AttemptResult::Answered(elapsed),
             AttemptOutcome::Refused(refused) => match refused.refusal.outcome {
-                _ if self.node_failure.is_some() => self.node_failure.unwrap_or(End::Failed),
-                Outcome::NotRun if refused.refusal.reason == ingress::OTHER_NODE => End::Replaced,
+                _ if self.node_failure.is_some() => {
+                    self.node_failure.unwrap_or(AttemptResult::Failed)
+                }
+                Outcome::NotRun if refused.refusal.reason == ingress::OTHER_NODE => {
+                    AttemptResult::Replaced
+                }
                 Outcome::NotRun if ingress::is_target_unavailable(&refused.refusal.reason) => {
-                    End::Leaving
+                    AttemptResult::Leaving
                 }
-                Outcome::NotRun => End::Refused,
-                _ => End::Failed,
+                Outcome::NotRun => AttemptResult::Refused,
+                _ => AttemptResult::Failed,
             },
         };
     }
@@ -123,8 +127,8 @@
             end: self.result.name(),
         };
         self.host.metrics.tries.get_or_create(&labels).inc();
-        let mut balance = self.host.balance.lock();
-        let is_ejected = balance.finish(self.member, self.route, self.result, self.report, now);
+        let mut balancer = self.host.balancer.lock();
+        let is_ejected = balancer.finish(self.member, self.route, self.result, self.report, now);
         if is_ejected {
             self.host.lost.notify_one();
             note!(
--- a/standins/src/load/fleet.rs
+++ b/standins/src/load/fleet.rs
@@ -8,7 +8,7 @@
 
 use rilltrack::{
     coordination::decision::{
-        age::Ages, allowance::Allowance, balance::Balance, line::Line, queue::Queue, runs::Runs,
+        age::Ages, allowance::Allowance, balance::Balancer, line::Line, queue::Queue, runs::Runs,
     },
     id::{Incarnation, Name},
     state::{
@@ -27,7 +27,7 @@
     /// Its place among the targets of its service.
     pub index: usize,
     pub speed: f64,
-    pub balance: Balance,
+    pub balancer: Balancer,
     pub queue: Queue<usize>,
     pub runs: Runs,
     pub line: Line,
@@ -66,7 +66,7 @@
                     index,
                     // By turns within a domain, so that all domains have all speeds.
                     speed: of.speeds[(index / load.domains) % of.speeds.len()],
-                    balance: Balance::default(),
+                    balancer: Balancer::default(),
                     queue,
                     runs: Runs::default(),
                     line: Line::new(of.bandwidth),
--- a/standins/src/load/mod.rs
+++ b/standins/src/load/mod.rs
@@ -1,7 +1,7 @@
 //! A model of load: callers, nodes and targets over a virtual clock.
 //!
 //! It replays a load on the product's own decisions: each node has its
-//! [`Balance`], its [`Queue`] and its [`Allowance`], and each request its [`Tries`]; none
+//! [`Balancer`], its [`Queue`] and its [`Allowance`], and each request its [`Tries`]; none
 //! of them is written again here. There are no processes, sockets or threads, and the
 //! same seed gives the same figures to the last digit.
 //!
@@ -22,7 +22,7 @@
 //! assert_eq!(figures, run(&load, 1));
 //! ```
 //!
-//! [`Balance`]: rilltrack::coordination::decision::balance::Balance
+//! [`Balancer`]: rilltrack::coordination::decision::balance::Balancer
 //! [`Queue`]: rilltrack::coordination::decision::queue::Queue
 //! [`Allowance`]: rilltrack::coordination::decision::allowance::Allowance
 //! [`Tries`]: rilltrack::coordination::decision::tries::Tries
--- a/standins/src/load/model.rs
+++ b/standins/src/load/model.rs
@@ -8,7 +8,7 @@
 
 use rilltrack::{
     coordination::decision::{
-        balance::{End, Report, Wish, is_large},
+        balance::{AttemptResult, Criteria, Report, is_large},
         line,
         queue::{Arrival, Entry, Place},
         tries::{self, Ended, Tries},
@@ -240,20 +240,20 @@
         let held = &mut self.requests[request];
         let nodes = self.fleet.hosts.len();
         let home = &mut self.fleet.hosts[held.home];
-        let wish = Wish {
+        let criteria = Criteria {
             node: &home.member.node,
             route: &self.routes[kind],
             service,
             domain: &home.member.domain,
             bytes: of.body,
-            own: home.queue.load(),
+            own_load: home.queue.load(),
         };
         let may_ask = held.tries.may_ask(&asked, now);
         let tried = &held.tries.nodes;
         let may = |member: &Member| !tried.contains(&member.node);
         let table = &self.fleet.table;
         let choice = may_ask
-            .then(|| home.balance.choose(table, wish, may, now))
+            .then(|| home.balancer.choose(table, criteria, may, now))
             .flatten();
         let choice =
             choice.filter(|_| held.tries.may_send(&asked, &mut home.allowance, nodes, now));
@@ -270,7 +270,7 @@
         held.sent = self.now;
         held.outcome = None;
         self.fleet.hosts[held.home]
-            .balance
+            .balancer
             .start(&choice.member, now);
         self.figures.kinds[kind].offers += 1;
         let way = self.way(request);
@@ -404,8 +404,8 @@
     fn usual(&self, request: usize) -> Option<Duration> {
         let held = &self.requests[request];
         self.fleet.hosts[held.home]
-            .balance
-            .usual(&self.routes[held.kind])
+            .balancer
+            .mean_run_time(&self.routes[held.kind])
     }
 
     fn give_up(&mut self, request: usize, count: u32) {
@@ -534,8 +534,8 @@
         let queue = &self.fleet.hosts[held.at].queue;
         let report = Report {
             load: Some(queue.load()),
-            pace: Some(queue.pace()),
-            ran,
+            slowdown: Some(queue.pace()),
+            run_time: ran,
             is_large: is_large(body),
         };
         self.requests[request].outcome = Some((ended, report));
@@ -551,17 +551,17 @@
         let of = &self.load.kinds[held.kind];
         let took = self.now - held.sent;
         let (end, arrived) = match &ended {
-            Ended::Answered { is_fault: true, .. } => (End::Failed, true),
-            Ended::Answered { .. } => (End::Answered(took), true),
+            Ended::Answered { is_fault: true, .. } => (AttemptResult::Failed, true),
+            Ended::Answered { .. } => (AttemptResult::Answered(took), true),
             Ended::Refused { refusal, arrived } if refusal.outcome == Outcome::NotRun => {
-                (End::Refused, *arrived)
+                (AttemptResult::Refused, *arrived)
             }
-            Ended::Refused { arrived, .. } => (End::Failed, *arrived),
-            Ended::TargetEnded(_) => (End::Failed, true),
+            Ended::Refused { arrived, .. } => (AttemptResult::Failed, *arrived),
+            Ended::TargetEnded(_) => (AttemptResult::Failed, true),
         };
         let member: &Member = &self.fleet.hosts[held.at].member.clone();
         let home = &mut self.fleet.hosts[held.home];
-        home.balance
+        home.balancer
             .finish(member, &self.routes[held.kind], end, report, now);
         if held.tries.arrivals == 0 && arrived {
             home.allowance.arrive(&self.fleet.services[of.service], now);
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -21,8 +21,8 @@
         decision::{
             age::Ages,
             allowance::{Again, Allowance, Rule},
-            balance::{Balance, Choice, End, Report, Wish},
-            reach::Loss,
+            balance::{AttemptResult, Balancer, Choice, Criteria, Report},
+            reach,
             split::Split,
         },
         flow::Flow,
@@ -133,18 +133,18 @@
 }
 
 /// Chooses a target of service `a` for a request of route `r` from the domain `here`.
-fn choose(balance: &mut Balance, table: &Table, bytes: usize, now: Instant) -> Option<Choice> {
+fn choose(balancer: &mut Balancer, table: &Table, bytes: usize, now: Instant) -> Option<Choice> {
     let (route, service, domain) = (name("r"), name("a"), name("here"));
     let me = "me".parse().unwrap();
-    let criteria = Wish {
+    let criteria = Criteria {
         node: &me,
         route: &route,
         service: &service,
         domain: &domain,
         bytes,
-        own: Load::default(),
+        own_load: Load::default(),
     };
-    balance.choose(table, criteria, |_| true, now)
+    balancer.choose(table, criteria, |_| true, now)
 }
 
 /// Checks that in each window of 10 s the retries are at least one, and at most a fifth of the
@@ -694,12 +694,12 @@
 
     nearest_target_is_preferred_until_it_is_full => {
         let table = members(&[("n1", "here"), ("f1", "there"), ("f2", "there")]);
-        let mut balance = Balance::default();
+        let mut balancer = Balancer::default();
         let now = Instant::now();
         let mut chosen = Vec::new();
         for _ in 0..20 {
-            let choice = choose(&mut balance, &table, 0, now).unwrap();
-            balance.start(&choice.member, now);
+            let choice = choose(&mut balancer, &table, 0, now).unwrap();
+            balancer.start(&choice.member, now);
             chosen.push(choice.member.node.to_string());
         }
         assert!(chosen[..5].iter().all(|node| node == "n1"), "{chosen:?}");
@@ -711,19 +711,19 @@
 
     faster_remote_target_gets_lookups_but_no_uploads => {
         let table = members(&[("n1", "here"), ("f1", "there")]);
-        let mut balance = Balance::default();
+        let mut balancer = Balancer::default();
         let now = Instant::now();
         for _ in 0..100 {
             for (node, took) in [("n1", 150), ("f1", 100)] {
                 let member = table.get(&node.parse().unwrap()).unwrap().clone();
-                balance.start(&member, now);
-                let end = End::Answered(Duration::from_millis(took));
-                balance.finish(&member, &name("r"), end, Report::default(), now);
+                balancer.start(&member, now);
+                let end = AttemptResult::Answered(Duration::from_millis(took));
+                balancer.finish(&member, &name("r"), end, Report::default(), now);
             }
         }
-        let lookup = choose(&mut balance, &table, 100, now).unwrap();
+        let lookup = choose(&mut balancer, &table, 100, now).unwrap();
         assert_eq!(lookup.member.node.as_str(), "f1");
-        let upload = choose(&mut balance, &table, 100 << 10, now).unwrap();
+        let upload = choose(&mut balancer, &table, 100 << 10, now).unwrap();
         assert_eq!(upload.member.node.as_str(), "n1");
     }
 
@@ -731,160 +731,160 @@
         let table = members(&[("n1", "here"), ("n2", "there")]);
         let route = name("r");
         let now = Instant::now();
-        let mut balance = Balance::default();
+        let mut balancer = Balancer::default();
         let near = table.get(&"n1".parse().unwrap()).unwrap().clone();
         // Nine of ten slots are taken in the domain `here`, and none in `there`.
         for _ in 0..9 {
-            balance.start(&near, now);
+            balancer.start(&near, now);
         }
-        let chosen_node = |balance: &mut Balance| choose(balance, &table, 0, now).unwrap().member.node.to_string();
-        balance.note_size(&route, 2_000);
-        assert_eq!(chosen_node(&mut balance), "n2");
+        let chosen_node = |balancer: &mut Balancer| choose(balancer, &table, 0, now).unwrap().member.node.to_string();
+        balancer.record_answer_size(&route, 2_000);
+        assert_eq!(chosen_node(&mut balancer), "n2");
         for _ in 0..40 {
-            balance.note_size(&route, 90_000);
+            balancer.record_answer_size(&route, 90_000);
         }
-        assert_eq!(chosen_node(&mut balance), "n1");
+        assert_eq!(chosen_node(&mut balancer), "n1");
     }
 
     large_answers_avoid_a_slow_network_path => {
         let table = members(&[("n1", "here"), ("n2", "here")]);
         let route = name("r");
         let now = Instant::now();
-        let mut balance = Balance::default();
-        balance.note_size(&route, 90_000);
+        let mut balancer = Balancer::default();
+        balancer.record_answer_size(&route, 90_000);
         // Both targets run the request equally fast, but the link of n2 is narrow.
         let run_time = Some(Duration::from_millis(50));
         for _ in 0..40 {
             for (node, took) in [("n1", 60), ("n2", 400)] {
                 let member = table.get(&node.parse().unwrap()).unwrap().clone();
-                balance.start(&member, now);
-                let end = End::Answered(Duration::from_millis(took));
-                let report = Report { ran: run_time, pace: Some("1.00".parse().unwrap()), ..Report::default() };
-                balance.finish(&member, &route, end, report, now);
+                balancer.start(&member, now);
+                let end = AttemptResult::Answered(Duration::from_millis(took));
+                let report = Report { run_time: run_time, slowdown: Some("1.00".parse().unwrap()), ..Report::default() };
+                balancer.finish(&member, &route, end, report, now);
             }
         }
         for _ in 0..20 {
-            assert_eq!(choose(&mut balance, &table, 0, now).unwrap().member.node.as_str(), "n1");
+            assert_eq!(choose(&mut balancer, &table, 0, now).unwrap().member.node.as_str(), "n1");
         }
     }
 
     target_reported_slow_is_avoided_until_the_report_expires => {
         let table = members(&[("n1", "here"), ("n2", "here")]);
-        let mut balance = Balance::default();
+        let mut balancer = Balancer::default();
         let now = Instant::now();
         for (node, slowdown) in [("n1", 3.0), ("n2", 0.8)] {
             let member = table.get(&node.parse().unwrap()).unwrap().clone();
-            balance.start(&member, now);
-            let report = Report { pace: Some(slowdown.to_string().parse().unwrap()), ..Report::default() };
+            balancer.start(&member, now);
+            let report = Report { slowdown: Some(slowdown.to_string().parse().unwrap()), ..Report::default() };
             // The time of this one request does not outweigh the report.
-            balance.finish(&member, &name("r"), End::Answered(Duration::from_millis(100)), report, now);
+            balancer.finish(&member, &name("r"), AttemptResult::Answered(Duration::from_millis(100)), report, now);
         }
         let fast = table.get(&"n2".parse().unwrap()).unwrap().clone();
         // One more request at the fast target counts less than the slowdown of the other, and
         // more once that has expired.
         for (later, expected) in [(0, "n2"), (60, "n1")] {
             let at = now + Duration::from_secs(later);
-            balance.start(&fast, at);
-            let chosen = choose(&mut balance, &table, 0, at).unwrap();
+            balancer.start(&fast, at);
+            let chosen = choose(&mut balancer, &table, 0, at).unwrap();
             assert_eq!(chosen.member.node.as_str(), expected);
-            balance.finish(&fast, &name("r"), End::Refused, Report::default(), at);
+            balancer.finish(&fast, &name("r"), AttemptResult::Refused, Report::default(), at);
         }
     }
 
     slow_network_path_does_not_count_as_slowdown => {
         let table = members(&[("n1", "here"), ("n2", "here")]);
-        let mut balance = Balance::default();
+        let mut balancer = Balancer::default();
         let now = Instant::now();
         let run_time = Duration::from_millis(100);
         // The network path to n1 is slow, but its target is as fast as that of n2.
         for (node, took) in [("n1", 400), ("n2", 100)].repeat(50) {
             let member = table.get(&node.parse().unwrap()).unwrap().clone();
-            balance.start(&member, now);
-            let report = Report { ran: Some(run_time), ..Report::default() };
-            balance.finish(&member, &name("r"), End::Answered(Duration::from_millis(took)), report, now);
+            balancer.start(&member, now);
+            let report = Report { run_time: Some(run_time), ..Report::default() };
+            balancer.finish(&member, &name("r"), AttemptResult::Answered(Duration::from_millis(took)), report, now);
         }
-        assert_eq!(balance.usual(&name("r")), Some(run_time));
-        let chosen = (0..60).map(|_| choose(&mut balance, &table, 0, now).unwrap().member.node.to_string());
+        assert_eq!(balancer.mean_run_time(&name("r")), Some(run_time));
+        let chosen = (0..60).map(|_| choose(&mut balancer, &table, 0, now).unwrap().member.node.to_string());
         let to_n1 = chosen.filter(|node| node == "n1").count();
         assert!((10..50).contains(&to_n1), "{to_n1} of 60");
     }
 
     load_of_the_own_target_comes_from_its_gate => {
         let table = members(&[("me", "here"), ("n1", "here")]);
-        let mut balance = Balance::default();
+        let mut balancer = Balancer::default();
         let now = Instant::now();
         let (me, route, service, domain) = ("me".parse().unwrap(), name("r"), name("a"), name("here"));
         for (running, expected) in [(0, "me"), (9, "n1")] {
             let own = Load { running, waiting: 0, slots: 10 };
-            let criteria = Wish { node: &me, route: &route, service: &service, domain: &domain, bytes: 0, own };
+            let criteria = Criteria { node: &me, route: &route, service: &service, domain: &domain, bytes: 0, own_load: own };
             let other = table.get(&"n1".parse().unwrap()).unwrap().clone();
             for _ in 0..running / 3 {
-                balance.start(&other, now);
+                balancer.start(&other, now);
             }
             if running == 0 {
-                balance.start(&other, now);
+                balancer.start(&other, now);
             }
-            let chosen = balance.choose(&table, criteria, |_| true, now).unwrap();
+            let chosen = balancer.choose(&table, criteria, |_| true, now).unwrap();
             assert_eq!(chosen.member.node.as_str(), expected);
         }
     }
 
     reported_load_is_used => {
         let table = members(&[("n1", "here"), ("n2", "here")]);
-        let mut balance = Balance::default();
+        let mut balancer = Balancer::default();
         let now = Instant::now();
         let full = Load { running: 10, waiting: 4, slots: 10 };
         let busy = table.get(&"n1".parse().unwrap()).unwrap().clone();
-        balance.start(&busy, now);
-        balance.finish(&busy, &name("r"), End::Answered(Duration::from_millis(100)), Report { load: Some(full), ..Report::default() }, now);
+        balancer.start(&busy, now);
+        balancer.finish(&busy, &name("r"), AttemptResult::Answered(Duration::from_millis(100)), Report { load: Some(full), ..Report::default() }, now);
         for _ in 0..20 {
-            let choice = choose(&mut balance, &table, 0, now).unwrap();
+            let choice = choose(&mut balancer, &table, 0, now).unwrap();
             assert_eq!(choice.member.node.as_str(), "n2");
         }
     }
 
     leaving_target_is_excluded_briefly_and_a_replaced_one_for_longer => {
         let table = members(&[("n1", "here")]);
-        let mut balance = Balance::default();
+        let mut balancer = Balancer::default();
         let now = Instant::now();
         let only = table.get(&"n1".parse().unwrap()).unwrap().clone();
-        let is_chosen = |balance: &mut Balance, at| choose(balance, &table, 0, at).is_some();
-        let end = |balance: &mut Balance, end| {
-            balance.start(&only, now);
-            balance.finish(&only, &name("r"), end, Report::default(), now)
+        let is_chosen = |balancer: &mut Balancer, at| choose(balancer, &table, 0, at).is_some();
+        let end = |balancer: &mut Balancer, end| {
+            balancer.start(&only, now);
+            balancer.finish(&only, &name("r"), end, Report::default(), now)
         };
-        assert!(end(&mut balance, End::Leaving));
-        assert!(!is_chosen(&mut balance, now + Duration::from_millis(100)));
-        assert!(is_chosen(&mut balance, now + Duration::from_millis(300)));
-        end(&mut balance, End::Refused);
-        assert!(is_chosen(&mut balance, now));
-        assert!(end(&mut balance, End::Replaced));
-        assert!(!is_chosen(&mut balance, now + Duration::from_secs(10)));
+        assert!(end(&mut balancer, AttemptResult::Leaving));
+        assert!(!is_chosen(&mut balancer, now + Duration::from_millis(100)));
+        assert!(is_chosen(&mut balancer, now + Duration::from_millis(300)));
+        end(&mut balancer, AttemptResult::Refused);
+        assert!(is_chosen(&mut balancer, now));
+        assert!(end(&mut balancer, AttemptResult::Replaced));
+        assert!(!is_chosen(&mut balancer, now + Duration::from_secs(10)));
     }
 
     unreachable_node_gets_no_requests_until_it_answers_a_probe => {
         let table = members(&[("n1", "here"), ("f1", "there")]);
-        let mut balance = Balance::default();
+        let mut balancer = Balancer::default();
         let now = Instant::now();
         let unreachable = table.get(&"n1".parse().unwrap()).unwrap().clone();
-        balance.start(&unreachable, now);
-        assert!(balance.finish(&unreachable, &name("r"), End::Lost(Loss::Silent), Report::default(), now));
+        balancer.start(&unreachable, now);
+        assert!(balancer.finish(&unreachable, &name("r"), AttemptResult::Lost(reach::Failure::Silent), Report::default(), now));
         let at = |ms| now + Duration::from_millis(ms);
         for ms in [0, 300, 60_000] {
-            let choice = choose(&mut balance, &table, 0, at(ms)).unwrap();
+            let choice = choose(&mut balancer, &table, 0, at(ms)).unwrap();
             assert_eq!(choice.member.node.as_str(), "f1");
         }
-        assert!(balance.reach.due(&table, at(100)).is_empty());
-        assert_eq!(balance.reach.next(), Some(at(200)));
-        assert_eq!(balance.reach.due(&table, at(200)).len(), 1);
+        assert!(balancer.reachability.due_probes(&table, at(100)).is_empty());
+        assert_eq!(balancer.reachability.next_probe(), Some(at(200)));
+        assert_eq!(balancer.reachability.due_probes(&table, at(200)).len(), 1);
         // There is one probe at a time, and each without an answer delays the next.
-        assert!(balance.reach.due(&table, at(60_000)).is_empty());
-        balance.reach.lose(&unreachable, Loss::Silent, at(450));
-        assert!(balance.reach.due(&table, at(450 + 300)).is_empty());
-        assert_eq!(balance.reach.due(&table, at(450 + 500)).len(), 1);
-        assert!(balance.reach.hear(&unreachable));
-        assert_eq!(choose(&mut balance, &table, 100 << 10, now).unwrap().member.node.as_str(), "n1");
-        assert_eq!(balance.reach.next(), None);
+        assert!(balancer.reachability.due_probes(&table, at(60_000)).is_empty());
+        balancer.reachability.record_failure(&unreachable, reach::Failure::Silent, at(450));
+        assert!(balancer.reachability.due_probes(&table, at(450 + 300)).is_empty());
+        assert_eq!(balancer.reachability.due_probes(&table, at(450 + 500)).len(), 1);
+        assert!(balancer.reachability.record_answer(&unreachable));
+        assert_eq!(choose(&mut balancer, &table, 100 << 10, now).unwrap().member.node.as_str(), "n1");
+        assert_eq!(balancer.reachability.next_probe(), None);
     }
 
     domain_is_excluded_after_consecutive_unreachable_nodes => {
@@ -892,66 +892,66 @@
         let mut list = vec![("n1", "here")];
         list.extend(remote.iter().map(|node| (node.as_str(), "there")));
         let table = members(&list);
-        let mut balance = Balance::default();
+        let mut balancer = Balancer::default();
         let now = Instant::now();
         let at = |ms| now + Duration::from_millis(ms);
         let get = |node: &str| table.get(&node.parse().unwrap()).unwrap().clone();
         // A host that refuses connections shows that the network path to it works.
-        for (node, loss) in [("f0", Loss::Silent), ("f1", Loss::Silent), ("f2", Loss::Closed)] {
-            balance.reach.lose(&get(node), loss, now);
+        for (node, failure) in [("f0", reach::Failure::Silent), ("f1", reach::Failure::Silent), ("f2", reach::Failure::Closed)] {
+            balancer.reachability.record_failure(&get(node), failure, now);
         }
-        assert!(!balance.reach.is_cut(&name("there")));
+        assert!(!balancer.reachability.is_partitioned(&name("there")));
         for node in ["f3", "f4", "f5"] {
-            balance.reach.lose(&get(node), Loss::Silent, at(1000));
+            balancer.reachability.record_failure(&get(node), reach::Failure::Silent, at(1000));
         }
-        assert!(balance.reach.is_lost(&get("f9")), "f9 was not tried, but its domain is unreachable");
+        assert!(balancer.reachability.is_unreachable(&get("f9")), "f9 was not tried, but its domain is unreachable");
         for _ in 0..50 {
-            let choice = choose(&mut balance, &table, 0, at(1000)).unwrap();
+            let choice = choose(&mut balancer, &table, 0, at(1000)).unwrap();
             assert_eq!(choice.member.node.as_str(), "n1");
         }
         // One node is probed for the whole domain.
-        let [probed] = &balance.reach.due(&table, at(5000))[..] else { panic!("not one probe") };
-        assert!(balance.reach.due(&table, at(60_000)).is_empty());
-        balance.reach.hear(probed);
-        assert!(["f4", "f9"].iter().all(|node| !balance.reach.is_lost(&get(node))));
+        let [probed] = &balancer.reachability.due_probes(&table, at(5000))[..] else { panic!("not one probe") };
+        assert!(balancer.reachability.due_probes(&table, at(60_000)).is_empty());
+        balancer.reachability.record_answer(probed);
+        assert!(["f4", "f9"].iter().all(|node| !balancer.reachability.is_unreachable(&get(node))));
     }
 
     partitioned_node_still_uses_its_own_target => {
         let table = members(&[("me", "here"), ("n1", "here"), ("n2", "here"), ("n3", "here")]);
-        let mut balance = Balance::default();
+        let mut balancer = Balancer::default();
         let now = Instant::now();
         for node in ["n1", "n2", "n3"] {
             let member = table.get(&node.parse().unwrap()).unwrap().clone();
-            balance.reach.lose(&member, Loss::Silent, now);
+            balancer.reachability.record_failure(&member, reach::Failure::Silent, now);
         }
-        assert!(balance.reach.is_cut(&name("here")));
-        assert_eq!(choose(&mut balance, &table, 0, now).unwrap().member.node.as_str(), "me");
+        assert!(balancer.reachability.is_partitioned(&name("here")));
+        assert_eq!(choose(&mut balancer, &table, 0, now).unwrap().member.node.as_str(), "me");
     }
 
     late_answer_does_not_make_a_responsive_node_unreachable => {
         let table = members(&[("n1", "here"), ("n2", "here")]);
-        let mut balance = Balance::default();
+        let mut balancer = Balancer::default();
         let now = Instant::now();
         let late = now + Duration::from_secs(3);
         for (node, answered, is_unreachable) in [("n1", late, false), ("n2", now, true)] {
             let member = table.get(&node.parse().unwrap()).unwrap().clone();
-            balance.start(&member, now);
-            balance.start(&member, now);
-            balance.finish(&member, &name("r"), End::Refused, Report::default(), answered);
-            assert_eq!(balance.finish(&member, &name("r"), End::Late, Report::default(), late), is_unreachable);
-            assert_eq!(balance.reach.is_lost(&member), is_unreachable);
+            balancer.start(&member, now);
+            balancer.start(&member, now);
+            balancer.finish(&member, &name("r"), AttemptResult::Refused, Report::default(), answered);
+            assert_eq!(balancer.finish(&member, &name("r"), AttemptResult::Late, Report::default(), late), is_unreachable);
+            assert_eq!(balancer.reachability.is_unreachable(&member), is_unreachable);
         }
     }
 
     node_with_overdue_answers_gets_no_more_requests => {
         let table = members(&[("n1", "here"), ("n2", "here")]);
-        let mut balance = Balance::default();
+        let mut balancer = Balancer::default();
         let now = Instant::now();
         let frozen = table.get(&"n1".parse().unwrap()).unwrap().clone();
-        balance.start(&frozen, now);
+        balancer.start(&frozen, now);
         let later = now + Duration::from_secs(1);
         for _ in 0..20 {
-            let choice = choose(&mut balance, &table, 0, later).unwrap();
+            let choice = choose(&mut balancer, &table, 0, later).unwrap();
             assert_eq!(choice.member.node.as_str(), "n2");
         }
     }
@@ -962,10 +962,10 @@
         leaving.sequence = 2;
         leaving.targets[0].draining = true;
         table.merge(leaving);
-        let mut balance = Balance::default();
+        let mut balancer = Balancer::default();
         for _ in 0..20 {
             let choice =
-                choose(&mut balance, &table, 0, Instant::now()).unwrap();
+                choose(&mut balancer, &table, 0, Instant::now()).unwrap();
             assert_eq!(choice.member.node.as_str(), "n2");
         }
     }
@@ -1097,20 +1097,20 @@
 
     failures_of_an_instance_do_not_count_against_the_next => {
         let mut table = members(&[("n1", "here"), ("n2", "here")]);
-        let mut balance = Balance::default();
+        let mut balancer = Balancer::default();
         let now = Instant::now();
         let old = table.get(&"n1".parse().unwrap()).unwrap().clone();
         for _ in 0..8 {
-            balance.start(&old, now);
-            balance.finish(&old, &name("r"), End::Failed, Report::default(), now);
+            balancer.start(&old, now);
+            balancer.finish(&old, &name("r"), AttemptResult::Failed, Report::default(), now);
         }
-        assert_eq!(choose(&mut balance, &table, 0, now).unwrap().member.node.as_str(), "n2");
+        assert_eq!(choose(&mut balancer, &table, 0, now).unwrap().member.node.as_str(), "n2");
         let mut restarted = Member::clone(&old);
         restarted.sequence += 1;
         restarted.targets[0].instance = Instance::new(old.targets[0].instance.id(), Some(7));
         table.merge(restarted);
         let chosen: Vec<_> = (0..40)
-            .map(|_| choose(&mut balance, &table, 0, now).unwrap().member.node.to_string())
+            .map(|_| choose(&mut balancer, &table, 0, now).unwrap().member.node.to_string())
             .collect();
         assert!(chosen.iter().any(|node| node == "n1"), "{chosen:?}");
     }
