--- a/src/coordination/decision/tries.rs
+++ b/src/coordination/decision/attempts.rs
@@ -4,14 +4,14 @@
 //! It is made for overloaded nodes that refuse requests, targets that shed or fail part of
 //! their requests, and broken network paths. A request that was refused before a target saw
 //! it goes to another node at no cost. One that a target has seen is a repeat and takes from
-//! the retry budget of the fleet ([`allowance`](crate::coordination::decision::allowance)).
+//! the retry budget of the fleet ([`retry_budget`](crate::coordination::decision::retry_budget)).
 
 use std::time::{Duration, Instant};
 
 use crate::{
     coordination::decision::{
-        allowance::{Again, Allowance},
         queue::Arrival,
+        retry_budget::{Retry, RetryBudget},
     },
     id::{Name, Node},
     protocol::answer::{Outcome, Refusal},
@@ -47,7 +47,7 @@
 
 /// The attempts of one request so far; `A` is an answer of a target.
 #[derive(Debug)]
-pub struct Tries<A> {
+pub struct Attempts<A> {
     /// The nodes that were asked.
     pub nodes: Vec<Node>,
     /// The number of targets that have seen the request.
@@ -68,7 +68,7 @@
     /// The number of targets that may see it.
     pub attempts: u32,
     /// The probability that it is a call made by a run that is a repeat.
-    pub carried: f64,
+    pub repeat_chance: f64,
     /// The due time of its objective, counted from its caller's first attempt.
     pub due: Instant,
     /// When its caller stops waiting for an answer.
@@ -77,7 +77,7 @@
 
 /// The result of one attempt.
 #[derive(Debug)]
-pub enum Ended<A> {
+pub enum AttemptEnd<A> {
     /// The target answered, perhaps with an error.
     Answered {
         /// The answer.
@@ -93,7 +93,7 @@
         arrived: bool,
     },
     /// The target's process terminated while it ran the request.
-    TargetEnded(Refusal),
+    TargetCrashed(Refusal),
 }
 
 #[derive(Debug)]
@@ -102,7 +102,7 @@
     Answered(A),
 }
 
-impl<A> Default for Tries<A> {
+impl<A> Default for Attempts<A> {
     fn default() -> Self {
         Self {
             nodes: Vec::new(),
@@ -112,36 +112,36 @@
     }
 }
 
-impl<A> Tries<A> {
+impl<A> Attempts<A> {
     /// Returns whether one more node may be asked.
     pub fn may_ask(&self, request: &Request<'_>, now: Instant) -> bool {
         self.nodes.len() < MAX_ASKED_NODES && (self.nodes.is_empty() || now < request.deadline)
     }
 
     /// Returns whether the request may be sent to one more target, and takes the cost from
-    /// the `allowance` of a fleet of `nodes`. Until a target has seen the request, sending it
+    /// the `budget` of a fleet of `nodes`. Until a target has seen the request, sending it
     /// costs nothing.
     pub fn may_send(
         &self,
         request: &Request<'_>,
-        allowance: &mut Allowance,
+        budget: &mut RetryBudget,
         nodes: usize,
         now: Instant,
     ) -> bool {
         if self.arrivals == 0 {
             if self.nodes.is_empty() {
-                allowance.earn(request.service, request.carried, now);
+                budget.note_first_send(request.service, request.repeat_chance, now);
             }
             return true;
         }
         if self.arrivals >= request.attempts {
             return false;
         }
-        let again = match &self.fallback {
-            Some(Fallback::Refused(refusal)) if refusal.outcome == Outcome::NotRun => Again::NotRun,
-            _ => Again::Repeated,
+        let retry = match &self.fallback {
+            Some(Fallback::Refused(refusal)) if refusal.outcome == Outcome::NotRun => Retry::NotRun,
+            _ => Retry::Repeated,
         };
-        allowance.spend(request.service, again, nodes, now)
+        budget.spend(request.service, retry, nodes, now)
     }
 
     /// Records the result of the attempt at the last node. Returns the result for the caller
@@ -150,9 +150,9 @@
     /// # Errors
     ///
     /// The refusal that the caller gets.
-    pub fn take(&mut self, kind: Kind, ended: Ended<A>) -> Option<Result<A, Refusal>> {
+    pub fn record(&mut self, kind: Kind, ended: AttemptEnd<A>) -> Option<Result<A, Refusal>> {
         match ended {
-            Ended::Answered { answer, is_fault } => {
+            AttemptEnd::Answered { answer, is_fault } => {
                 self.arrivals += 1;
                 if !is_fault || kind == Kind::Once {
                     return Some(Ok(answer));
@@ -162,20 +162,20 @@
             // The request may have crashed the target, so the node doesn't retry it: retried
             // by a node, one such request crashed three targets in 3 ms. Its caller retries
             // soon enough, and by then all nodes have heard of the crash.
-            Ended::TargetEnded(refusal) => {
+            AttemptEnd::TargetCrashed(refusal) => {
                 self.arrivals += 1;
-                self.note(refusal);
-                return Some(self.end());
+                self.keep_refusal(refusal);
+                return Some(self.final_result());
             }
-            Ended::Refused { refusal, arrived } => {
+            AttemptEnd::Refused { refusal, arrived } => {
                 self.arrivals += u32::from(arrived);
                 if refusal.outcome != Outcome::NotRun && kind == Kind::Once {
                     return Some(Err(refusal));
                 }
                 let is_final = refusal.is_final();
-                self.note(refusal);
+                self.keep_refusal(refusal);
                 if is_final {
-                    return Some(self.end());
+                    return Some(self.final_result());
                 }
             }
         }
@@ -187,7 +187,7 @@
     /// # Errors
     ///
     /// The refusal that the caller gets.
-    pub fn end(&mut self) -> Result<A, Refusal> {
+    pub fn final_result(&mut self) -> Result<A, Refusal> {
         match self.fallback.take() {
             Some(Fallback::Answered(answer)) => Ok(answer),
             Some(Fallback::Refused(refusal)) => Err(refusal),
@@ -206,20 +206,25 @@
     /// its own run time was the bound, requests of 1 ms got no place in the queue beside
     /// lookups of 63 ms: none of 149 was served while two in three lookups were (replayed in
     /// `standins/tests/load.rs`).
-    pub fn arrival(&self, request: &Request<'_>, usual: Option<Duration>, now: Instant) -> Arrival {
+    pub fn queue_arrival(
+        &self,
+        request: &Request<'_>,
+        usual: Option<Duration>,
+        now: Instant,
+    ) -> Arrival {
         let max_wait = |until: Instant| until.saturating_duration_since(now) / WAIT_DIVISOR;
         Arrival {
             priority: request.priority,
-            patience: max_wait(request.due).max(max_wait(request.deadline).min(MAX_LATE_WAIT)),
+            max_wait: max_wait(request.due).max(max_wait(request.deadline).min(MAX_LATE_WAIT)),
             due: request.due,
-            usual,
+            usual_run_time: usual,
         }
     }
 
     /// Stores `refusal` as the result for the caller, unless an answer is stored, or
     /// `refusal` is "not run" and the stored one isn't. So the caller gets "not run" only if
     /// that holds for every attempt.
-    pub fn note(&mut self, refusal: Refusal) {
+    pub fn keep_refusal(&mut self, refusal: Refusal) {
         let is_kept = match &self.fallback {
             Some(Fallback::Answered(_)) => true,
             Some(Fallback::Refused(held)) => {
@@ -236,10 +241,13 @@
 /// Returns `arrival` with a shorter maximum wait, for a request whose body is sent only once
 /// the node accepts it. Nothing has been sent yet, so a node that doesn't answer must not
 /// hold the request for half of an objective of many seconds.
-pub fn offered(arrival: Arrival) -> Arrival {
-    let run = arrival.usual.unwrap_or_default().max(MIN_OFFER_RUN);
+pub fn limit_offer_wait(arrival: Arrival) -> Arrival {
+    let run = arrival
+        .usual_run_time
+        .unwrap_or_default()
+        .max(MIN_OFFER_RUN);
     Arrival {
-        patience: arrival.patience.min(run * OFFER_WAIT_RUNS),
+        max_wait: arrival.max_wait.min(run * OFFER_WAIT_RUNS),
         ..arrival
     }
 }
--- a/src/coordination/decision/line.rs
+++ b/src/coordination/decision/link_share.rs
@@ -18,14 +18,14 @@
 /// Returns how long the transfer of a request's body may take so that its run still ends in
 /// time. A late request gets as long as its usual run time: with more, the link would fill
 /// with bodies of requests whose callers have stopped waiting.
-pub fn spare(arrival: &Arrival, now: Instant) -> Duration {
-    let run = arrival.usual.unwrap_or_default();
+pub fn body_slack(arrival: &Arrival, now: Instant) -> Duration {
+    let run = arrival.usual_run_time.unwrap_or_default();
     arrival.due.saturating_duration_since(now + run).max(run)
 }
 
 /// One direction of a host's link.
 #[derive(Clone, Debug)]
-pub struct Line {
+pub struct LinkShare {
     /// Bytes per second for large bodies; `None` if the bandwidth is unknown, which admits
     /// every body.
     bytes_per_s: Option<f64>,
@@ -33,7 +33,7 @@
     pending_bytes: usize,
 }
 
-impl Line {
+impl LinkShare {
     /// Returns one direction of a link of `bandwidth` Mbit/s; 0 means that the bandwidth is
     /// unknown.
     pub fn new(bandwidth: u32) -> Self {
@@ -45,7 +45,7 @@
     }
 
     /// Returns the transfer time of `bytes` if nothing else is pending.
-    pub fn span(&self, bytes: usize) -> Duration {
+    pub fn transfer_time(&self, bytes: usize) -> Duration {
         let time = |bytes_per_s| Duration::from_secs_f64(bytes as f64 / bytes_per_s);
         self.bytes_per_s.map_or(Duration::ZERO, time)
     }
@@ -61,8 +61,8 @@
     /// # Errors
     ///
     /// The time by which its transfer behind the pending bodies would exceed `slack`.
-    pub fn count_in(&mut self, bytes: usize, slack: Duration) -> Result<(), Duration> {
-        let time = self.span(self.pending_bytes + bytes);
+    pub fn reserve(&mut self, bytes: usize, slack: Duration) -> Result<(), Duration> {
+        let time = self.transfer_time(self.pending_bytes + bytes);
         if self.pending_bytes > 0 && time > slack {
             return Err(time - slack);
         }
@@ -71,7 +71,7 @@
     }
 
     /// Records that the transfer of an admitted body of `bytes` has ended, or will not happen.
-    pub fn pass(&mut self, bytes: usize) {
+    pub fn release(&mut self, bytes: usize) {
         self.pending_bytes = self.pending_bytes.saturating_sub(bytes);
     }
 }
--- a/src/coordination/decision/mod.rs
+++ b/src/coordination/decision/mod.rs
@@ -6,25 +6,25 @@
 //!
 //! * [`queue`]: slots of a target, and the requests that wait for one;
 //! * [`balance`]: which node a request goes to;
-//! * [`mod@line`]: which large bodies a host's link may carry;
+//! * [`link_share`]: which large bodies a host's link may carry;
 //! * [`reach`]: which nodes are unreachable, and when they are probed;
-//! * [`allowance`]: how many retries may be sent;
+//! * [`retry_budget`]: how many retries may be sent;
 //! * [`runs`]: which share of the requests that a target runs are repeats;
 //! * [`age`]: how long callers have been trying;
-//! * [`tries`]: how often a request is tried, and which response its caller gets;
+//! * [`attempts`]: how many attempts a request gets, and which response its caller gets;
 //! * [`quarantine`]: which requests are quarantined because targets crash under them;
 //! * [`rollout`]: how a new release of a service is tried, judged, and completed or rolled
 //!   back;
 //! * [`split`]: how the requests of a split route are shared among its services.
 
 pub mod age;
-pub mod allowance;
+pub mod attempts;
 pub mod balance;
-pub mod line;
+pub mod link_share;
 pub mod quarantine;
 pub mod queue;
 pub mod reach;
+pub mod retry_budget;
 pub mod rollout;
 pub mod runs;
 pub mod split;
-pub mod tries;
--- a/src/coordination/decision/queue.rs
+++ b/src/coordination/decision/queue.rs
@@ -71,9 +71,9 @@
     /// other parents.
     pub due: Instant,
     /// Its maximum wait for a slot, limited by the time that its caller has left.
-    pub patience: Duration,
+    pub max_wait: Duration,
     /// The usual run time of such a request, as observed by the node that sent it.
-    pub usual: Option<Duration>,
+    pub usual_run_time: Option<Duration>,
 }
 
 /// A position in the queue, in the order of admission.
@@ -91,20 +91,20 @@
 
 /// The decision on a request that arrives.
 #[derive(Debug)]
-pub enum Entry<W> {
+pub enum Admission<W> {
     /// It has a slot.
-    Entered,
+    Admitted,
     /// It waits for a slot.
-    Waits {
+    Queued {
         /// Its position.
         place: Place,
         /// Its maximum wait.
-        patience: Duration,
+        max_wait: Duration,
         /// The waiting request that is rejected to make room for it.
         displaced: Option<W>,
     },
     /// It is rejected.
-    Full,
+    Rejected,
 }
 
 impl<W> Default for Queue<W> {
@@ -145,24 +145,24 @@
     }
 
     /// Returns the target's slowdown, the ratio of run times to usual run times.
-    pub fn pace(&self) -> Pace {
+    pub fn slowdown(&self) -> Pace {
         self.slowdown
     }
 
     /// Records the run time of a request whose `usual` run time was observed by the node that
     /// sent it.
-    pub fn note_run(&mut self, took: Duration, usual: Duration) {
+    pub fn record_run(&mut self, took: Duration, usual: Duration) {
         self.slowdown = self.slowdown.towards(Pace::of(took, usual), NEWEST_WEIGHT);
     }
 
     /// Decides on a request that arrives; `waiter` is kept if the request waits.
-    pub fn arrive(&mut self, arrival: &Arrival, waiter: W, now: Instant) -> Entry<W> {
+    pub fn admit(&mut self, arrival: &Arrival, waiter: W, now: Instant) -> Admission<W> {
         if self.has_free_slot() && self.waiting.is_empty() {
             self.running += 1;
-            return Entry::Entered;
+            return Admission::Admitted;
         }
-        let Some((place, patience)) = self.place(arrival, now) else {
-            return Entry::Full;
+        let Some((place, max_wait)) = self.place(arrival, now) else {
+            return Admission::Rejected;
         };
         let displaced = if self.waiting.len() < self.slots as usize * QUEUE_PER_SLOT {
             None
@@ -170,14 +170,14 @@
             // The last one makes room for a request that goes before it.
             match self.waiting.last_key_value() {
                 Some((last, _)) if *last > place => self.waiting.pop_last(),
-                _ => return Entry::Full,
+                _ => return Admission::Rejected,
             }
         };
         self.next_sequence += 1;
         self.waiting.insert(place, waiter);
-        Entry::Waits {
+        Admission::Queued {
             place,
-            patience,
+            max_wait,
             displaced: displaced.map(|(_, waiter)| waiter),
         }
     }
@@ -186,13 +186,13 @@
     /// its maximum wait.
     ///
     /// This does not check whether the queue is full.
-    pub fn has_place(&self, arrival: &Arrival, now: Instant) -> bool {
+    pub fn may_admit(&self, arrival: &Arrival, now: Instant) -> bool {
         let is_free = self.has_free_slot() && self.waiting.is_empty();
         is_free || self.place(arrival, now).is_some()
     }
 
     /// Admits the next waiting request, if a slot is free.
-    pub fn grant(&mut self) -> Option<W> {
+    pub fn admit_next(&mut self) -> Option<W> {
         if !self.has_free_slot() {
             return None;
         }
@@ -202,7 +202,7 @@
     }
 
     /// Frees a slot, after a run of this time if there was one.
-    pub fn leave(&mut self, took: Option<Duration>) {
+    pub fn release(&mut self, took: Option<Duration>) {
         self.running = self.running.saturating_sub(1);
         if let Some(took) = took {
             self.mean += NEWEST_WEIGHT * (took.as_secs_f64() - self.mean);
@@ -210,7 +210,7 @@
     }
 
     /// Removes a request that stopped waiting; returns whether it was still in the queue.
-    pub fn give_up(&mut self, place: &Place) -> bool {
+    pub fn cancel(&mut self, place: &Place) -> bool {
         self.waiting.remove(place).is_some()
     }
 
@@ -225,7 +225,7 @@
     /// then. Otherwise up to `RETRY_SPREAD_RUNS` mean runs are added, in proportion to
     /// `spread`, a random number from 0 to 1.
     pub fn retry_after(&self, arrival: &Arrival, spread: f64, now: Instant) -> Span {
-        let until_free = self.turn() * (self.waiting.len() + 1) as u32;
+        let until_free = self.slot_turnover() * (self.waiting.len() + 1) as u32;
         let wait = match self.slack(arrival, now) {
             Some(slack) if slack > until_free => until_free,
             _ => until_free + Duration::from_secs_f64(self.mean * RETRY_SPREAD_RUNS * spread),
@@ -240,19 +240,19 @@
     /// Returns the expected wait of a request at `place`.
     fn wait(&self, place: &Place) -> Duration {
         let ahead = self.waiting.range(..place).count();
-        self.turn() * (ahead + 1) as u32
+        self.slot_turnover() * (ahead + 1) as u32
     }
 
     /// Returns the slot turnover time: how long it takes until a slot is free, while all are
     /// in use.
-    pub fn turn(&self) -> Duration {
+    pub fn slot_turnover(&self) -> Duration {
         Duration::from_secs_f64(self.mean) / self.slots.max(1)
     }
 
     /// Returns the slack of a request: how long it may wait and still end in time. `None` if
     /// it can't.
     fn slack(&self, arrival: &Arrival, now: Instant) -> Option<Duration> {
-        let run = match arrival.usual {
+        let run = match arrival.usual_run_time {
             Some(usual) => usual.mul_f64(self.slowdown.factor()),
             None => Duration::from_secs_f64(self.mean),
         };
@@ -273,8 +273,8 @@
         // than those take: a full queue takes `QUEUE_PER_SLOT` mean runs, and the next slot is
         // free after one turnover.
         let mean_run = Duration::from_secs_f64(self.mean);
-        let own_run = arrival.usual.unwrap_or(mean_run);
-        let longest = (own_run.max(mean_run) * QUEUE_PER_SLOT as u32).min(arrival.patience);
+        let own_run = arrival.usual_run_time.unwrap_or(mean_run);
+        let longest = (own_run.max(mean_run) * QUEUE_PER_SLOT as u32).min(arrival.max_wait);
         let max_wait = (slack / SLACK_DIVISOR).min(longest);
         if self.wait(&place) <= max_wait {
             return Some((place, max_wait));
@@ -285,8 +285,8 @@
         };
         let late_places = (self.slots as usize / SLOTS_PER_LATE).max(1);
         let max_wait = own_run
-            .clamp(self.turn() * late_places as u32, mean_run)
-            .min(arrival.patience);
+            .clamp(self.slot_turnover() * late_places as u32, mean_run)
+            .min(arrival.max_wait);
         // Waiting requests of lower priority are not counted. Counting them starved requests
         // whose objective is close to their run time behind requests of lower priority.
         let ahead = self
--- a/src/coordination/decision/allowance.rs
+++ b/src/coordination/decision/retry_budget.rs
@@ -62,20 +62,20 @@
 /// ```
 /// use std::time::{Duration, Instant};
 ///
-/// use rilltrack::coordination::decision::allowance::{Again, Allowance, Rule};
+/// use rilltrack::coordination::decision::retry_budget::{Retry, RetryBudget, Rule};
 ///
 /// let rule = Rule { ratio: 0.2, slack: 10.0, window: Duration::from_secs(10) };
-/// let mut allowance = Allowance::new(rule);
+/// let mut budget = RetryBudget::new(rule);
 /// let (service, now) = ("ledger".parse()?, Instant::now());
 /// // The only node of the fleet may use seven tenths of the slack, and a quarter of it for
 /// // requests that may have run.
-/// let repeated = (0..20).filter(|_| allowance.spend(&service, Again::Repeated, 1, now)).count();
-/// let unrun = (0..20).filter(|_| allowance.spend(&service, Again::NotRun, 1, now)).count();
+/// let repeated = (0..20).filter(|_| budget.spend(&service, Retry::Repeated, 1, now)).count();
+/// let unrun = (0..20).filter(|_| budget.spend(&service, Retry::NotRun, 1, now)).count();
 /// assert_eq!((repeated, unrun), (2, 5));
 /// # Ok::<(), rilltrack::id::Error>(())
 /// ```
 #[derive(Debug)]
-pub struct Allowance {
+pub struct RetryBudget {
     rule: Rule,
     services: HashMap<Name, VecDeque<Step>>,
 }
@@ -96,17 +96,17 @@
 
 /// What this node sent for one service within the window, and what it may retry.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Used {
+pub struct Usage {
     /// First sends: one for each request.
-    pub first: u32,
+    pub first_sends: u32,
     /// The first sends that a target has seen.
     pub arrived: u32,
     /// Retries.
-    pub again: u32,
+    pub retries: u32,
     /// The retries of requests that may have run.
     pub repeated: u32,
     /// The estimated number of first sends that are calls of repeats.
-    pub carried: f64,
+    pub repeat_calls: f64,
     /// Extra arrivals that the rule of the fleet allows for this node's first sends, with its
     /// part of the slack.
     pub allowed: f64,
@@ -117,23 +117,23 @@
 
 /// Whether a request that is retried may have run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Again {
+pub enum Retry {
     /// It certainly did not run.
     NotRun,
     /// It ran, or may have.
     Repeated,
 }
 
-impl Used {
+impl Usage {
     /// Returns the arrivals at targets, past and expected, beyond the first one of each
     /// request.
-    pub fn further(&self) -> f64 {
-        f64::from(self.again) + self.carried
+    pub fn extra_arrivals(&self) -> f64 {
+        f64::from(self.retries) + self.repeat_calls
     }
 }
 
-impl Allowance {
-    /// Returns an unused allowance.
+impl RetryBudget {
+    /// Returns an unused retry budget.
     pub fn new(rule: Rule) -> Self {
         Self {
             rule,
@@ -148,7 +148,7 @@
 
     /// Records the first send of a request for `service`; `repeat_chance` is the probability
     /// that it is a call made by a run that is a repeat.
-    pub fn earn(&mut self, service: &Name, repeat_chance: f64, now: Instant) {
+    pub fn note_first_send(&mut self, service: &Name, repeat_chance: f64, now: Instant) {
         let step = self.step(service, now);
         step.first_sends += 1;
         step.repeat_calls += repeat_chance;
@@ -160,25 +160,25 @@
     /// to other services. Under overload most first sends are refused before any target sees
     /// them. When these counted like the others, they allowed repeats whose calls alone were
     /// a fifth of what the requests for the called service allow.
-    pub fn arrive(&mut self, service: &Name, now: Instant) {
+    pub fn note_arrival(&mut self, service: &Name, now: Instant) {
         self.step(service, now).arrived += 1;
     }
 
     /// Takes one retry for `service` from the budget; returns whether one was left. `nodes`
     /// is the size of the fleet.
-    pub fn spend(&mut self, service: &Name, again: Again, nodes: usize, now: Instant) -> bool {
+    pub fn spend(&mut self, service: &Name, retry: Retry, nodes: usize, now: Instant) -> bool {
         let steps = self.services.get(service);
-        let used = self.used(steps.into_iter().flatten(), nodes, now);
+        let usage = self.used(steps.into_iter().flatten(), nodes, now);
         // Calls of repeats arrive at the same targets as this node's own retries. When only
         // the retries were counted here, the calls came on top of them.
-        let has_room = used.further() + 1.0 <= USED_SHARE * used.allowed;
+        let has_room = usage.extra_arrivals() + 1.0 <= USED_SHARE * usage.allowed;
         let is_left = has_room
-            && (again == Again::NotRun
-                || f64::from(used.repeated) + 1.0 <= REPEATED_SHARE * used.allowed_arrived);
+            && (retry == Retry::NotRun
+                || f64::from(usage.repeated) + 1.0 <= REPEATED_SHARE * usage.allowed_arrived);
         if is_left {
             let step = self.step(service, now);
             step.retries += 1;
-            step.repeated += u32::from(again == Again::Repeated);
+            step.repeated += u32::from(retry == Retry::Repeated);
         }
         is_left
     }
@@ -188,15 +188,15 @@
     ///
     /// It is checked here because the node that retries the request can't know which services
     /// its run calls.
-    pub fn carries(&self, nodes: usize, now: Instant) -> bool {
-        self.all(nodes, now)
-            .all(|(_, used)| used.further() <= ADMIT_SHARE * used.allowed)
+    pub fn has_room_for_calls(&self, nodes: usize, now: Instant) -> bool {
+        self.usage(nodes, now)
+            .all(|(_, usage)| usage.extra_arrivals() <= ADMIT_SHARE * usage.allowed)
     }
 
     /// Returns what this node sent for each service. `nodes` is the size of the fleet.
-    pub fn all(&self, nodes: usize, now: Instant) -> impl Iterator<Item = (&Name, Used)> {
-        let used = move |(service, steps)| (service, self.used(steps, nodes, now));
-        self.services.iter().map(used)
+    pub fn usage(&self, nodes: usize, now: Instant) -> impl Iterator<Item = (&Name, Usage)> {
+        let usage = move |(service, steps)| (service, self.used(steps, nodes, now));
+        self.services.iter().map(usage)
     }
 
     /// Returns the sums over the `steps` of a service.
@@ -210,23 +210,23 @@
         steps: impl IntoIterator<Item = &'a Step>,
         nodes: usize,
         now: Instant,
-    ) -> Used {
-        let mut used = Used::default();
+    ) -> Usage {
+        let mut usage = Usage::default();
         for step in steps {
             let age = now - step.begins;
             if age <= self.rule.window {
-                used.first += step.first_sends;
-                used.arrived += step.arrived;
+                usage.first_sends += step.first_sends;
+                usage.arrived += step.arrived;
             }
             if age <= self.retention() {
-                used.again += step.retries;
-                used.repeated += step.repeated;
-                used.carried += step.repeat_calls;
+                usage.retries += step.retries;
+                usage.repeated += step.repeated;
+                usage.repeat_calls += step.repeat_calls;
             }
         }
-        used.allowed = self.rule.allowed(used.first, nodes);
-        used.allowed_arrived = self.rule.allowed(used.arrived, nodes);
-        used
+        usage.allowed = self.rule.allowed(usage.first_sends, nodes);
+        usage.allowed_arrived = self.rule.allowed(usage.arrived, nodes);
+        usage
     }
 
     /// Returns the length of a step.
--- a/src/coordination/decision/runs.rs
+++ b/src/coordination/decision/runs.rs
@@ -41,7 +41,7 @@
     }
 
     /// Returns the sum of these counts and `other`.
-    pub fn and(self, other: Self) -> Self {
+    pub fn plus(self, other: Self) -> Self {
         Self {
             total: self.total + other.total,
             repeated: self.repeated + other.repeated,
@@ -49,7 +49,7 @@
     }
 
     /// Returns the share of repeats among the runs, from 0 to 1; 0 if there are no runs.
-    pub fn repeats(&self) -> f64 {
+    pub fn repeat_share(&self) -> f64 {
         f64::from(self.repeated) / f64::from(self.total.max(1))
     }
 }
--- a/src/coordination/door.rs
+++ b/src/coordination/door.rs
@@ -67,10 +67,10 @@
 
     /// Returns the share of repeats, from 0 to 1, among the running requests of all
     /// targets.
-    pub fn repeats(&self) -> f64 {
+    pub fn repeat_share(&self) -> f64 {
         let limiters = self.limiters.lock();
         let runs = limiters.values().map(|limiter| limiter.inner.lock().runs);
-        runs.fold(Runs::default(), Runs::and).repeats()
+        runs.fold(Runs::default(), Runs::plus).repeat_share()
     }
 
     /// Returns the highest load of any target, as a percentage of its slots.
--- a/src/coordination/flow.rs
+++ b/src/coordination/flow.rs
@@ -17,7 +17,7 @@
 
 use parking_lot::Mutex;
 
-use crate::coordination::decision::line::Line;
+use crate::coordination::decision::link_share::LinkShare;
 
 /// How much earlier than the link is free a body may be handed to the operating system: a few
 /// round trips, so that the link never idles, and short compared with the connection timeout
@@ -27,21 +27,21 @@
 /// The large bodies on one direction of a host's link.
 #[derive(Debug)]
 pub struct Flow {
-    line: Arc<Mutex<Line>>,
+    share: Arc<Mutex<LinkShare>>,
     /// When the link will have transferred every body that [`Flow::enter`] let through.
     free_at: tokio::sync::Mutex<Option<Instant>>,
 }
 
 /// An admitted body. Drop it when its transfer has ended, or will not happen.
 #[derive(Debug)]
-pub struct Counted {
-    line: Arc<Mutex<Line>>,
+pub struct Reservation {
+    share: Arc<Mutex<LinkShare>>,
     bytes: usize,
 }
 
-impl Drop for Counted {
+impl Drop for Reservation {
     fn drop(&mut self) {
-        self.line.lock().pass(self.bytes);
+        self.share.lock().release(self.bytes);
     }
 }
 
@@ -50,7 +50,7 @@
     /// unknown, and every body is admitted at once.
     pub fn new(bandwidth: u32) -> Self {
         Self {
-            line: Arc::new(Mutex::new(Line::new(bandwidth))),
+            share: Arc::new(Mutex::new(LinkShare::new(bandwidth))),
             free_at: tokio::sync::Mutex::default(),
         }
     }
@@ -61,10 +61,10 @@
     /// # Errors
     ///
     /// The time by which its transfer behind the pending bodies would exceed `slack`.
-    pub fn count_in(&self, bytes: usize, slack: Duration) -> Result<Counted, Duration> {
-        self.line.lock().count_in(bytes, slack)?;
-        Ok(Counted {
-            line: self.line.clone(),
+    pub fn reserve(&self, bytes: usize, slack: Duration) -> Result<Reservation, Duration> {
+        self.share.lock().reserve(bytes, slack)?;
+        Ok(Reservation {
+            share: self.share.clone(),
             bytes,
         })
     }
@@ -72,13 +72,13 @@
     /// Waits until the link has room for a body of `bytes`. Bodies are let through in the
     /// order of the calls. If the future is dropped while it waits, its body takes no
     /// bandwidth.
-    pub async fn enter(&self, bytes: usize) {
+    pub async fn wait_for_link(&self, bytes: usize) {
         let transfer_time = {
-            let line = self.line.lock();
-            if !line.is_known() {
+            let share = self.share.lock();
+            if !share.is_known() {
                 return;
             }
-            line.span(bytes)
+            share.transfer_time(bytes)
         };
         // The lock is held while the first body in the queue waits, and the time is added
         // only after the wait. Were it added before, it would still count after the caller
--- a/src/coordination/gate.rs
+++ b/src/coordination/gate.rs
@@ -17,7 +17,7 @@
 pub use crate::coordination::decision::queue::Arrival;
 use crate::{
     coordination::decision::{
-        queue::{Entry, MIN_RETRY_AFTER, Place, Queue},
+        queue::{Admission, MIN_RETRY_AFTER, Place, Queue},
         runs::Runs,
     },
     id::Instance,
@@ -101,7 +101,7 @@
     }
 
     /// Opens the gate to `target`, or updates the target's slots, address and instance.
-    pub fn open(&self, target: Target) {
+    pub fn set_target(&self, target: Target) {
         let mut state = self.state.lock();
         let current = state.target.as_ref();
         // The run times of an earlier instance say nothing about this one.
@@ -111,7 +111,7 @@
         state.queue.set_slots(target.slots);
         state.target = Some(target);
         state.is_closed = false;
-        state.grant();
+        state.admit_next();
     }
 
     /// Closes the gate: refuses waiting requests and all later ones.
@@ -122,7 +122,7 @@
     }
 
     /// Removes the target, which has stopped announcing itself or refuses connections.
-    pub fn vacate(&self) {
+    pub fn remove_target(&self) {
         let mut state = self.state.lock();
         state.target = None;
         state.queue.set_slots(0);
@@ -136,24 +136,24 @@
 
     /// Returns the slot turnover time: how long it takes until a slot is free, while all are
     /// in use.
-    pub fn turn(&self) -> Duration {
-        self.state.lock().queue.turn()
+    pub fn slot_turnover(&self) -> Duration {
+        self.state.lock().queue.slot_turnover()
     }
 
     /// Records the run time of a request whose `usual` run time was observed by the node that
     /// sent it.
-    pub fn note_run(&self, took: Duration, usual: Duration) {
-        self.state.lock().queue.note_run(took, usual);
+    pub fn record_run(&self, took: Duration, usual: Duration) {
+        self.state.lock().queue.record_run(took, usual);
     }
 
     /// Returns the target's slowdown, the ratio of run times to usual run times.
-    pub fn pace(&self) -> Pace {
-        self.state.lock().queue.pace()
+    pub fn slowdown(&self) -> Pace {
+        self.state.lock().queue.slowdown()
     }
 
     /// Returns the share of repeats among the requests that the target runs, from 0 to 1.
-    pub fn repeats(&self) -> f64 {
-        self.state.lock().runs.repeats()
+    pub fn repeat_share(&self) -> f64 {
+        self.state.lock().runs.repeat_share()
     }
 
     /// Returns a permit to send one request to the target, after a wait for a slot if none is
@@ -163,19 +163,19 @@
     ///
     /// The refusal. It comes at once if the gate is closed, there is no target, or no slot is
     /// expected to be free in time.
-    pub async fn enter(&self, arrival: Arrival) -> Result<Permit, Refusal> {
+    pub async fn acquire(&self, arrival: Arrival) -> Result<Permit, Refusal> {
         let (sender, mut receiver) = oneshot::channel();
-        let (place, patience) = {
+        let (place, max_wait) = {
             let mut state = self.state.lock();
             if let Some(unavailable) = state.unavailable() {
                 return Err(unavailable.refusal());
             }
-            match state.queue.arrive(&arrival, sender, Instant::now()) {
-                Entry::Entered => return Ok(self.permit(&state)),
-                Entry::Full => return Err(state.refuse_full(&arrival)),
-                Entry::Waits {
-                    place, patience, ..
-                } => (place, patience),
+            match state.queue.admit(&arrival, sender, Instant::now()) {
+                Admission::Admitted => return Ok(self.permit(&state)),
+                Admission::Rejected => return Err(state.refuse_full(&arrival)),
+                Admission::Queued {
+                    place, max_wait, ..
+                } => (place, max_wait),
             }
         };
         // If the wait ends by timeout, or because the caller went away and this future is
@@ -185,13 +185,13 @@
             place: Some(place),
             receiver: &mut receiver,
         };
-        match tokio::time::timeout(patience, &mut *waiter.receiver).await {
+        match tokio::time::timeout(max_wait, &mut *waiter.receiver).await {
             Ok(Ok(())) => {
                 waiter.place = None;
                 let state = self.state.lock();
                 if let Some(unavailable) = state.unavailable() {
                     drop(state);
-                    self.leave(None);
+                    self.release(None);
                     return Err(unavailable.refusal());
                 }
                 Ok(self.permit(&state))
@@ -220,7 +220,7 @@
         if let Some(unavailable) = state.unavailable() {
             return Err(unavailable.refusal());
         }
-        match state.queue.has_place(arrival, Instant::now()) {
+        match state.queue.may_admit(arrival, Instant::now()) {
             true => Ok(()),
             false => Err(state.refuse_full(arrival)),
         }
@@ -238,10 +238,10 @@
         }
     }
 
-    fn leave(&self, took: Option<Duration>) {
+    fn release(&self, took: Option<Duration>) {
         let mut state = self.state.lock();
-        state.queue.leave(took);
-        state.grant();
+        state.queue.release(took);
+        state.admit_next();
     }
 }
 
@@ -256,11 +256,11 @@
 impl Drop for Waiter<'_> {
     fn drop(&mut self) {
         let Some(place) = self.place else { return };
-        let was_waiting = self.gate.state.lock().queue.give_up(&place);
+        let was_waiting = self.gate.state.lock().queue.cancel(&place);
         // If it had left the queue already, it was either granted a slot, which is freed here,
         // or refused, and holds none.
         if !was_waiting && self.receiver.try_recv().is_ok() {
-            self.gate.leave(None);
+            self.gate.release(None);
         }
     }
 }
@@ -284,14 +284,14 @@
     }
 
     /// Wakes the waiting tasks for which slots are free now.
-    fn grant(&mut self) {
+    fn admit_next(&mut self) {
         while !self.is_closed {
-            let Some(waiter) = self.queue.grant() else {
+            let Some(waiter) = self.queue.admit_next() else {
                 return;
             };
             // The task has just stopped waiting, so the slot goes to the next one.
             if waiter.send(()).is_err() {
-                self.queue.leave(None);
+                self.queue.release(None);
             }
         }
     }
@@ -300,7 +300,7 @@
 impl Permit {
     /// Records that the request is sent to the target now; `is_repeat` if a target has already
     /// seen it.
-    pub fn begin(&mut self, is_repeat: bool) {
+    pub fn start_run(&mut self, is_repeat: bool) {
         self.gate.state.lock().runs.start(is_repeat);
         self.is_repeat = Some(is_repeat);
     }
@@ -311,6 +311,6 @@
         if let Some(is_repeat) = self.is_repeat {
             self.gate.state.lock().runs.end(is_repeat);
         }
-        self.gate.leave(Some(self.admitted_at.elapsed()));
+        self.gate.release(Some(self.admitted_at.elapsed()));
     }
 }
--- a/src/coordination/host.rs
+++ b/src/coordination/host.rs
@@ -19,8 +19,8 @@
         Error,
         decision::{
             age::Ages,
-            allowance::{Allowance, Rule},
             balance::{self, Balancer},
+            retry_budget::{RetryBudget, Rule},
             split::Split,
         },
         flow::Flow,
@@ -79,7 +79,7 @@
     /// Load, speed and failures of other nodes' targets, for target selection.
     pub balancer: Mutex<Balancer>,
     /// The retry budget.
-    pub allowance: Mutex<Allowance>,
+    pub retry_budget: Mutex<RetryBudget>,
     /// Estimates of how long callers have been retrying.
     pub ages: Mutex<Ages>,
     /// Which requests are quarantined because targets crash under them.
@@ -130,7 +130,7 @@
     /// Applies the settings that can change while the process runs. Logs the names of the
     /// changed settings that need a restart.
     pub fn reload(&self, new: &Settings) {
-        self.allowance.lock().set_rule(allowance_rule(new));
+        self.retry_budget.lock().set_rule(retry_rule(new));
         self.local.lock().set_heartbeat(new.heartbeat);
         *self.grace.lock() = new.grace;
         let differs = |name: &'static str, is_same: bool| (!is_same).then_some(name);
@@ -175,7 +175,7 @@
             local: Mutex::new(Local::new(settings.heartbeat)),
             members: RwLock::default(),
             balancer: Mutex::default(),
-            allowance: Mutex::new(Allowance::new(allowance_rule(&settings))),
+            retry_budget: Mutex::new(RetryBudget::new(retry_rule(&settings))),
             grace: Mutex::new(settings.grace),
             ages: Mutex::default(),
             reviews: Reviews::default(),
@@ -516,9 +516,9 @@
     pub fn set_gate(&self) {
         let local = self.local.lock();
         match local.open() {
-            Some(target) => self.gate.open(target),
+            Some(target) => self.gate.set_target(target),
             None if local.is_leaving() => self.gate.close(),
-            None => self.gate.vacate(),
+            None => self.gate.remove_target(),
         }
     }
 
@@ -583,7 +583,7 @@
     /// and those of unknown size don't wait.
     pub async fn until_room(&self, bytes: Option<usize>) {
         if let Some(bytes) = bytes.filter(|bytes| balance::is_large(*bytes)) {
-            self.outflow.enter(bytes).await;
+            self.outflow.wait_for_link(bytes).await;
         }
     }
 
@@ -608,7 +608,7 @@
     }
 }
 
-fn allowance_rule(settings: &Settings) -> Rule {
+fn retry_rule(settings: &Settings) -> Rule {
     Rule {
         ratio: settings.resend.ratio,
         slack: f64::from(settings.resend.slack),
--- a/src/transport/outbound.rs
+++ b/src/transport/outbound.rs
@@ -166,7 +166,7 @@
     }
 
     fn earn(&self, plan: &Plan) {
-        let carried = self.node.doors.repeats();
+        let carried = self.node.doors.repeat_share();
         let mut budgets = self.budgets.lock();
         budgets
             .entry(plan.service.name.clone())
--- a/src/transport/relay/egress.rs
+++ b/src/transport/relay/egress.rs
@@ -15,9 +15,9 @@
 use crate::{
     coordination::{
         decision::{
+            attempts,
             balance::{self, Choice, Criteria, Report},
             quarantine::HELD_BACK,
-            tries,
         },
         host::Host,
         link::Stream,
@@ -75,16 +75,16 @@
 }
 
 /// The attempts made for a request so far.
-type Attempts = tries::Tries<Response<Body>>;
+type Attempts = attempts::Attempts<Response<Body>>;
 
 impl Call {
-    fn request(&self) -> tries::Request<'_> {
-        tries::Request {
+    fn request(&self) -> attempts::Request<'_> {
+        attempts::Request {
             service: &self.service,
             kind: self.route.kind,
             priority: self.route.priority,
             attempts: self.route.attempts,
-            carried: self.repeat_chance,
+            repeat_chance: self.repeat_chance,
             due: self.due,
             deadline: self.deadline,
         }
@@ -114,18 +114,18 @@
     /// Logs the retries of each service that had any, with its retry budget.
     pub fn note_sent_again(&self) {
         let nodes = self.host.nodes();
-        let budget = self.host.allowance.lock();
-        let services = budget.all(nodes, Instant::now());
-        for (service, usage) in services.filter(|(_, usage)| usage.further() > 0.0) {
+        let budget = self.host.retry_budget.lock();
+        let services = budget.usage(nodes, Instant::now());
+        for (service, usage) in services.filter(|(_, usage)| usage.extra_arrivals() > 0.0) {
             note!(
                 self.host.journal,
                 Event::SentAgain,
                 service = service,
-                first = usage.first,
+                first = usage.first_sends,
                 arrived = usage.arrived,
-                again = usage.again,
+                again = usage.retries,
                 repeated = usage.repeated,
-                carried = format_args!("{:.1}", usage.carried),
+                carried = format_args!("{:.1}", usage.repeat_calls),
                 allowed = format_args!("{:.1}", usage.allowed),
             );
         }
@@ -205,7 +205,7 @@
             route,
             service,
             arrived,
-            repeat_chance: self.host.gate.repeats(),
+            repeat_chance: self.host.gate.repeat_share(),
             // `None` means that the due time lies before the start of the clock. The
             // request is late in that case, too.
             due: due.unwrap_or(arrived),
@@ -273,7 +273,7 @@
             };
             let Some(choice) = choice else {
                 match is_quarantined {
-                    true => attempts.note(Refusal::rejected(503, HELD_BACK)),
+                    true => attempts.keep_refusal(Refusal::rejected(503, HELD_BACK)),
                     false => self.log_no_target(call, attempts),
                 }
                 break;
@@ -293,8 +293,8 @@
                 .attempt(call, &choice, body, attempts, is_quarantined)
                 .await;
             if attempts.arrivals == 0 && outcome.has_arrived() {
-                let mut budget = self.host.allowance.lock();
-                budget.arrive(&call.service, Instant::now());
+                let mut budget = self.host.retry_budget.lock();
+                budget.note_arrival(&call.service, Instant::now());
             }
             if matches!(outcome, AttemptOutcome::Refused(_)) && is_exceeded.load(Ordering::Relaxed)
             {
@@ -313,11 +313,11 @@
                 let mut balancer = self.host.balancer.lock();
                 balancer.record_answer_size(&call.route.name, bytes);
             }
-            if let Some(result) = attempts.take(call.route.kind, outcome.into()) {
+            if let Some(result) = attempts.record(call.route.kind, outcome.into()) {
                 return result;
             }
         }
-        attempts.end()
+        attempts.final_result()
     }
 
     /// Returns the target for the next attempt. During a roll-out, the subsets of targets are
@@ -415,7 +415,7 @@
     /// retry from the retry budget. A retry is free if no target has seen the request yet.
     fn may_send(&self, call: &Call, attempts: &Attempts) -> bool {
         let is_allowed = {
-            let mut budget = self.host.allowance.lock();
+            let mut budget = self.host.retry_budget.lock();
             let nodes = self.host.nodes();
             attempts.may_send(&call.request(), &mut budget, nodes, Instant::now())
         };
@@ -474,9 +474,9 @@
                 balancer.large_answer_size(route),
             )
         };
-        let arrival = attempts.arrival(&call.request(), usual_run_time, since);
+        let arrival = attempts.queue_arrival(&call.request(), usual_run_time, since);
         let arrival = match next::is_offered(call, &body) {
-            true => tries::offered(arrival),
+            true => attempts::limit_offer_wait(arrival),
             false => arrival,
         };
         let delivery = Delivery {
@@ -494,7 +494,7 @@
             let run_time = delivered.as_ref().ok().and_then(|r| r.extensions().get());
             guard.report = Report {
                 load: Some(self.host.gate.load()),
-                slowdown: Some(self.host.gate.pace()),
+                slowdown: Some(self.host.gate.slowdown()),
                 run_time: run_time.map(|RunTime(run_time)| *run_time),
                 is_large,
             };
--- a/src/transport/relay/ingress.rs
+++ b/src/transport/relay/ingress.rs
@@ -10,8 +10,8 @@
 
 use crate::{
     coordination::{
-        decision::{balance, line, quarantine::HELD_BACK},
-        flow::Counted,
+        decision::{balance, link_share, quarantine::HELD_BACK},
+        flow::Reservation,
         gate::{self, Arrival, LEAVING, NO_TARGET, Permit},
         host::Host,
         rollout::{Answer, here},
@@ -209,7 +209,7 @@
             .reserve_answer(delivery)
             .map_err(Refused::before_arrival)?;
         let body = self.read_large_body(delivery, head, body).await?;
-        let admission = self.host.gate.enter(delivery.arrival).await;
+        let admission = self.host.gate.acquire(delivery.arrival).await;
         self.log_admission(id, delivery, since, &admission);
         let mut permit = admission.map_err(Refused::before_arrival)?;
         let body = self.read_body(delivery, head, body).await?;
@@ -223,7 +223,7 @@
         if !delivery.is_trial && self.host.reviews.is_held(&run.content) {
             return Err(Refused::before_arrival(Refusal::rejected(503, HELD_BACK)));
         }
-        permit.begin(delivery.is_repeat);
+        permit.start_run(delivery.is_repeat);
         let result = self.run(delivery, permit, &run, body).await;
         let run_time = run.since.elapsed();
         if let Some(is_fault) = is_fault(&result) {
@@ -231,8 +231,8 @@
         }
         let mut response = result?;
         if response.status().is_success() {
-            if let Some(usual) = delivery.arrival.usual {
-                self.host.gate.note_run(run_time, usual);
+            if let Some(usual) = delivery.arrival.usual_run_time {
+                self.host.gate.record_run(run_time, usual);
             }
             response.extensions_mut().insert(RunTime(run_time));
             if let Some(reservation) = reservation {
@@ -268,7 +268,12 @@
     /// the repeated calls.
     fn check_call_budget(&self, delivery: &Delivery) -> Result<(), Refusal> {
         let nodes = self.host.nodes();
-        let has_budget = || self.host.allowance.lock().carries(nodes, Instant::now());
+        let has_budget = || {
+            self.host
+                .retry_budget
+                .lock()
+                .has_room_for_calls(nodes, Instant::now())
+        };
         match !delivery.is_repeat || has_budget() {
             true => Ok(()),
             false => Err(Refusal::not_run(CALL_BUDGET_SPENT, CALLS_RETRY_AFTER)),
@@ -295,7 +300,7 @@
             route: &route.name,
             is_fault,
             ran: run_time,
-            usual: delivery.arrival.usual,
+            usual: delivery.arrival.usual_run_time,
         };
         here::weigh(
             &self.host,
@@ -306,7 +311,7 @@
 
     /// Reserves the link for a large answer, if the link can carry it in time after the
     /// answers reserved before. Otherwise the target would run in vain.
-    fn reserve_answer(&self, delivery: &Delivery) -> Result<Option<Arc<Counted>>, Refusal> {
+    fn reserve_answer(&self, delivery: &Delivery) -> Result<Option<Arc<Reservation>>, Refusal> {
         if delivery.answer_size == 0 {
             return Ok(None);
         }
@@ -316,9 +321,9 @@
             .saturating_duration_since(Instant::now());
         // The answer to a late request may take as long as its run. With more, links of
         // 10 Mbit/s fill with answers that no caller waits for any more.
-        let run_time = delivery.arrival.usual.unwrap_or_default();
+        let run_time = delivery.arrival.usual_run_time.unwrap_or_default();
         let outflow = &self.host.outflow;
-        let reservation = outflow.count_in(delivery.answer_size, slack.max(run_time));
+        let reservation = outflow.reserve(delivery.answer_size, slack.max(run_time));
         let refusal = |wait| Refusal::not_run(LINK_BUSY, Span::of(wait));
         reservation
             .map(|reservation| Some(Arc::new(reservation)))
@@ -356,14 +361,18 @@
                 priority = priority,
                 load = load,
                 waited = waited,
-                patience = delivery.arrival.patience.as_millis(),
+                patience = delivery.arrival.max_wait.as_millis(),
                 due = delivery
                     .arrival
                     .due
                     .saturating_duration_since(since)
                     .as_millis(),
-                usual = delivery.arrival.usual.unwrap_or_default().as_millis(),
-                turn = self.host.gate.turn().as_millis(),
+                usual = delivery
+                    .arrival
+                    .usual_run_time
+                    .unwrap_or_default()
+                    .as_millis(),
+                turn = self.host.gate.slot_turnover().as_millis(),
                 reason = refusal.reason,
             ),
         }
@@ -575,7 +584,7 @@
             version: progress.version,
             members: progress.members,
             load: gate.load(),
-            pace: gate.pace(),
+            pace: gate.slowdown(),
             ran: None,
             retry_after: None,
             reason: String::new(),
@@ -619,7 +628,7 @@
             .gate
             .check(arrival)
             .map_err(Refused::before_arrival)?;
-        let slack = line::spare(arrival, Instant::now());
+        let slack = link_share::body_slack(arrival, Instant::now());
         let reservation = self.inflow.count_in(length, slack);
         let refused = |wait| Refused::before_arrival(Refusal::not_run(LINK_FULL, Span::of(wait)));
         let _reservation = reservation.map_err(refused)?;
@@ -693,9 +702,9 @@
             service: ask.service,
             arrival: Arrival {
                 priority: ask.priority,
-                patience: ask.patience.duration(),
+                max_wait: ask.patience.duration(),
                 due: now + ask.due.duration(),
-                usual: ask.usual.map(Span::duration),
+                usual_run_time: ask.usual.map(Span::duration),
             },
             answer_size: ask.answer,
             deadline: now + ask.deadline.duration(),
--- a/src/transport/relay/next.rs
+++ b/src/transport/relay/next.rs
@@ -165,7 +165,7 @@
         request: Request<Body>,
     ) -> Result<Exchange, Failure> {
         let (request, offer) = offer::offer(request);
-        let offer_deadline = Instant::now() + delivery.arrival.patience + OFFER_TIMEOUT;
+        let offer_deadline = Instant::now() + delivery.arrival.max_wait + OFFER_TIMEOUT;
         let sending = self.pool.send(member.inbound, request, delivery.deadline);
         let mut sending = std::pin::pin!(sending);
         let early = tokio::time::timeout_at(offer_deadline.into(), sending.as_mut()).await;
@@ -207,10 +207,10 @@
             to: member.node.clone(),
             service: delivery.service.clone(),
             priority: delivery.arrival.priority,
-            patience: Span::of(delivery.arrival.patience),
+            patience: Span::of(delivery.arrival.max_wait),
             due: remaining(delivery.arrival.due),
             deadline: remaining(delivery.deadline),
-            usual: delivery.arrival.usual.map(Span::of),
+            usual: delivery.arrival.usual_run_time.map(Span::of),
             answer: delivery.answer_size,
             faults: delivery.fault_permille,
             is_again: delivery.is_repeat,
--- a/src/transport/relay/offer.rs
+++ b/src/transport/relay/offer.rs
@@ -21,7 +21,7 @@
 use tokio::sync::{Semaphore, SemaphorePermit, oneshot};
 
 use crate::{
-    coordination::flow::{Counted, Flow},
+    coordination::flow::{Flow, Reservation},
     transport::relay::body::Body,
     unit::Span,
 };
@@ -63,8 +63,12 @@
     ///
     /// If the body would take longer than `slack` after those reserved before; the error is the
     /// excess.
-    pub fn count_in(&self, length: Option<usize>, slack: Duration) -> Result<Counted, Duration> {
-        self.flow.count_in(length.unwrap_or(ASSUMED_BYTES), slack)
+    pub fn count_in(
+        &self,
+        length: Option<usize>,
+        slack: Duration,
+    ) -> Result<Reservation, Duration> {
+        self.flow.reserve(length.unwrap_or(ASSUMED_BYTES), slack)
     }
 
     /// Waits until a body of `length` bytes may be received. The returned permit must be held
--- a/src/transport/relay/outstanding.rs
+++ b/src/transport/relay/outstanding.rs
@@ -7,8 +7,8 @@
 use crate::{
     coordination::{
         decision::{
+            attempts::AttemptEnd,
             balance::{AttemptResult, Report},
-            tries::Ended,
         },
         host::Host,
     },
@@ -42,7 +42,7 @@
     }
 }
 
-impl From<AttemptOutcome> for Ended<Response<Body>> {
+impl From<AttemptOutcome> for AttemptEnd<Response<Body>> {
     fn from(outcome: AttemptOutcome) -> Self {
         match outcome {
             AttemptOutcome::Answered(answer) => Self::Answered {
@@ -52,7 +52,7 @@
             AttemptOutcome::Refused(Refused { refusal, .. })
                 if refusal.reason == ingress::TARGET_CRASHED =>
             {
-                Self::TargetEnded(refusal)
+                Self::TargetCrashed(refusal)
             }
             AttemptOutcome::Refused(Refused {
                 refusal,
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -145,15 +145,15 @@
 
     /// Returns the part of what its target runs now that another target has seen before.
     pub fn repeats(&self) -> f64 {
-        self.process.as_ref().unwrap().host.gate.repeats()
+        self.process.as_ref().unwrap().host.gate.repeat_share()
     }
 
     /// Returns how many first sends for a service count as calls of repeats here.
     pub fn carried(&self, service: &str) -> f64 {
-        let allowance = self.process.as_ref().unwrap().host.allowance.lock();
-        let mut all = allowance.all(1, std::time::Instant::now());
+        let budget = self.process.as_ref().unwrap().host.retry_budget.lock();
+        let mut all = budget.usage(1, std::time::Instant::now());
         let found = all.find(|(name, _)| name.as_str() == service);
-        found.map_or(0.0, |(_, used)| used.carried)
+        found.map_or(0.0, |(_, used)| used.repeat_calls)
     }
 
     /// Returns whether this host knows a ready target on the named one.
--- a/standins/src/load/figures.rs
+++ b/standins/src/load/figures.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use rilltrack::coordination::decision::allowance::Rule;
+use rilltrack::coordination::decision::retry_budget::Rule;
 
 /// What became of the requests of one replay.
 #[derive(Clone, Debug, Default, PartialEq)]
--- a/standins/src/load/fleet.rs
+++ b/standins/src/load/fleet.rs
@@ -8,7 +8,8 @@
 
 use rilltrack::{
     coordination::decision::{
-        age::Ages, allowance::Allowance, balance::Balancer, line::Line, queue::Queue, runs::Runs,
+        age::Ages, balance::Balancer, link_share::LinkShare, queue::Queue,
+        retry_budget::RetryBudget, runs::Runs,
     },
     id::{Incarnation, Name},
     state::{
@@ -30,10 +31,10 @@
     pub balancer: Balancer,
     pub queue: Queue<usize>,
     pub runs: Runs,
-    pub line: Line,
+    pub line: LinkShare,
     /// When its link has carried all that was let in, from the start of the load.
     pub free: Duration,
-    pub allowance: Allowance,
+    pub retry_budget: RetryBudget,
     pub ages: Ages,
 }
 
@@ -69,9 +70,9 @@
                     balancer: Balancer::default(),
                     queue,
                     runs: Runs::default(),
-                    line: Line::new(of.bandwidth),
+                    line: LinkShare::new(of.bandwidth),
                     free: Duration::ZERO,
-                    allowance: Allowance::new(rule),
+                    retry_budget: RetryBudget::new(rule),
                     ages: Ages::default(),
                 });
             }
--- a/standins/src/load/mod.rs
+++ b/standins/src/load/mod.rs
@@ -1,7 +1,7 @@
 //! A model of load: callers, nodes and targets over a virtual clock.
 //!
 //! It replays a load on the product's own decisions: each node has its
-//! [`Balancer`], its [`Queue`] and its [`Allowance`], and each request its [`Tries`]; none
+//! [`Balancer`], its [`Queue`] and its [`RetryBudget`], and each request its [`Attempts`]; none
 //! of them is written again here. There are no processes, sockets or threads, and the
 //! same seed gives the same figures to the last digit.
 //!
@@ -24,8 +24,8 @@
 //!
 //! [`Balancer`]: rilltrack::coordination::decision::balance::Balancer
 //! [`Queue`]: rilltrack::coordination::decision::queue::Queue
-//! [`Allowance`]: rilltrack::coordination::decision::allowance::Allowance
-//! [`Tries`]: rilltrack::coordination::decision::tries::Tries
+//! [`RetryBudget`]: rilltrack::coordination::decision::retry_budget::RetryBudget
+//! [`Attempts`]: rilltrack::coordination::decision::attempts::Attempts
 
 mod figures;
 mod file;
@@ -34,7 +34,7 @@
 
 use std::{ops::Range, time::Duration};
 
-use rilltrack::{coordination::decision::allowance::Rule, state::routing};
+use rilltrack::{coordination::decision::retry_budget::Rule, state::routing};
 
 pub use figures::{Arrivals, Count, Figures, Took};
 pub use file::Experiment;
--- a/standins/src/load/model.rs
+++ b/standins/src/load/model.rs
@@ -8,10 +8,10 @@
 
 use rilltrack::{
     coordination::decision::{
+        attempts::{self, AttemptEnd, Attempts},
         balance::{AttemptResult, Criteria, Report, is_large},
-        line,
-        queue::{Arrival, Entry, Place},
-        tries::{self, Ended, Tries},
+        link_share,
+        queue::{Admission, Arrival, Place},
     },
     id::Name,
     protocol::answer::{Outcome, Refusal},
@@ -75,7 +75,7 @@
     due: Instant,
     deadline: Duration,
     /// An answer is whether it tells of a fault.
-    tries: Tries<bool>,
+    attempts: Attempts<bool>,
     /// Tries of the caller that are left.
     retries: u32,
     parent: Option<usize>,
@@ -92,13 +92,13 @@
     entered: Duration,
     calls: u32,
     has_failed_call: bool,
-    outcome: Option<(Ended<bool>, Report)>,
+    outcome: Option<(AttemptEnd<bool>, Report)>,
 }
 
 impl Request {
     /// Returns whether its run at the host that was chosen last is a repeat.
     fn is_repeat(&self) -> bool {
-        self.is_call_of_repeat || self.tries.arrivals > 0
+        self.is_call_of_repeat || self.attempts.arrivals > 0
     }
 }
 
@@ -191,7 +191,7 @@
             begun: self.now,
             due: self.instant(),
             deadline: self.now + whole,
-            tries: Tries::default(),
+            attempts: Attempts::default(),
             retries: if parent.is_some() { 0 } else { of.retries },
             parent,
             is_call_of_repeat: parent.is_some_and(|parent| self.requests[parent].is_repeat()),
@@ -224,8 +224,8 @@
         let age = ages.note(&self.routes[held.kind], left);
         held.due = (now + of.objective).checked_sub(age).unwrap_or(now);
         held.begun = self.now;
-        held.carried = self.fleet.hosts[held.home].runs.repeats();
-        held.tries = Tries::default();
+        held.carried = self.fleet.hosts[held.home].runs.repeat_share();
+        held.attempts = Attempts::default();
         self.figures.arrivals[of.service].requests.push(self.now);
         self.ask(request);
     }
@@ -248,23 +248,25 @@
             bytes: of.body,
             own_load: home.queue.load(),
         };
-        let may_ask = held.tries.may_ask(&asked, now);
-        let tried = &held.tries.nodes;
+        let may_ask = held.attempts.may_ask(&asked, now);
+        let tried = &held.attempts.nodes;
         let may = |member: &Member| !tried.contains(&member.node);
         let table = &self.fleet.table;
         let choice = may_ask
             .then(|| home.balancer.choose(table, criteria, may, now))
             .flatten();
-        let choice =
-            choice.filter(|_| held.tries.may_send(&asked, &mut home.allowance, nodes, now));
+        let choice = choice.filter(|_| {
+            held.attempts
+                .may_send(&asked, &mut home.retry_budget, nodes, now)
+        });
         let Some(choice) = choice else {
-            let result = held.tries.end();
+            let result = held.attempts.final_result();
             return self.end(request, result);
         };
-        if held.tries.arrivals > 0 {
+        if held.attempts.arrivals > 0 {
             self.figures.repeats[of.service] += 1;
         }
-        held.tries.nodes.push(choice.member.node.clone());
+        held.attempts.nodes.push(choice.member.node.clone());
         held.at = self.fleet.number(&choice.member);
         held.count += 1;
         held.sent = self.now;
@@ -278,15 +280,15 @@
     }
 
     /// Returns what the node of a request tries for it.
-    fn asked<'b>(&self, request: usize, service: &'b Name) -> tries::Request<'b> {
+    fn asked<'b>(&self, request: usize, service: &'b Name) -> attempts::Request<'b> {
         let held = &self.requests[request];
         let of = &self.load.kinds[held.kind];
-        tries::Request {
+        attempts::Request {
             service,
             kind: of.kind,
             priority: of.priority,
             attempts: ATTEMPTS,
-            carried: held.carried,
+            repeat_chance: held.carried,
             due: held.due,
             deadline: self.origin + held.deadline,
         }
@@ -297,8 +299,8 @@
         let held = &self.requests[request];
         let of = &self.load.kinds[held.kind];
         let asked = self.asked(request, &self.fleet.services[of.service]);
-        held.tries
-            .arrival(&asked, self.usual(request), self.instant())
+        held.attempts
+            .queue_arrival(&asked, self.usual(request), self.instant())
     }
 
     /// Returns the time of a message between the node of a request and the target's.
@@ -317,7 +319,7 @@
         if !self.carries(request) {
             let refusal = Refusal::not_run("no allowance for its calls", SHED_AGAIN);
             let arrived = false;
-            return self.answer(request, Ended::Refused { refusal, arrived }, None);
+            return self.answer(request, AttemptEnd::Refused { refusal, arrived }, None);
         }
         let is_first = self.load.crossing == Crossing::First;
         if !is_first || !self.has_large_body(request) {
@@ -326,15 +328,18 @@
         let (now, arrival) = (self.instant(), self.arrival(request));
         let body = self.load.kinds[self.requests[request].kind].body;
         let host = &mut self.fleet.hosts[self.requests[request].at];
-        if !host.queue.has_place(&arrival, now) {
+        if !host.queue.may_admit(&arrival, now) {
             return self.refuse(request);
         }
-        match host.line.count_in(body, line::spare(&arrival, now)) {
+        match host
+            .line
+            .reserve(body, link_share::body_slack(&arrival, now))
+        {
             Ok(()) => self.cross(request),
             Err(wait) => {
                 let refusal = Refusal::not_run("the link has no room", Span::of(wait));
                 let arrived = false;
-                self.answer(request, Ended::Refused { refusal, arrived }, None);
+                self.answer(request, AttemptEnd::Refused { refusal, arrived }, None);
             }
         }
     }
@@ -345,7 +350,7 @@
         let held = &self.requests[request];
         let nodes = self.fleet.hosts.len();
         let host = &mut self.fleet.hosts[held.at];
-        held.tries.arrivals == 0 || host.allowance.carries(nodes, now)
+        held.attempts.arrivals == 0 || host.retry_budget.has_room_for_calls(nodes, now)
     }
 
     fn has_large_body(&self, request: usize) -> bool {
@@ -359,7 +364,7 @@
         let held = &self.requests[request];
         let body = self.load.kinds[held.kind].body;
         let host = &mut self.fleet.hosts[held.at];
-        host.free = host.free.max(self.now) + host.line.span(body);
+        host.free = host.free.max(self.now) + host.line.transfer_time(body);
         let takes = host.free - self.now;
         self.schedule(takes, Event::Crossed(request));
     }
@@ -370,7 +375,7 @@
             Crossing::First => {
                 let held = &self.requests[request];
                 let body = self.load.kinds[held.kind].body;
-                self.fleet.hosts[held.at].line.pass(body);
+                self.fleet.hosts[held.at].line.release(body);
                 self.enter_gate(request);
             }
         }
@@ -383,16 +388,16 @@
         let arrival = self.arrival(request);
         let count = held.count;
         let host = &mut self.fleet.hosts[held.at];
-        match host.queue.arrive(&arrival, request, now) {
-            Entry::Entered => self.enter(request),
-            Entry::Full => self.refuse(request),
-            Entry::Waits {
+        match host.queue.admit(&arrival, request, now) {
+            Admission::Admitted => self.enter(request),
+            Admission::Rejected => self.refuse(request),
+            Admission::Queued {
                 place,
-                patience,
+                max_wait,
                 displaced,
             } => {
                 self.requests[request].place = Some(place);
-                self.schedule(patience, Event::GiveUp(request, count));
+                self.schedule(max_wait, Event::GiveUp(request, count));
                 if let Some(displaced) = displaced {
                     self.requests[displaced].place = None;
                     self.refuse(displaced);
@@ -416,7 +421,7 @@
         let Some(place) = held.place.take() else {
             return;
         };
-        if self.fleet.hosts[held.at].queue.give_up(&place) {
+        if self.fleet.hosts[held.at].queue.cancel(&place) {
             self.refuse(request);
         }
     }
@@ -429,7 +434,7 @@
         let queue = &self.fleet.hosts[self.requests[request].at].queue;
         let refusal = Refusal::not_run(FULL, queue.retry_after(&arrival, spread, now));
         let arrived = false;
-        self.answer(request, Ended::Refused { refusal, arrived }, None);
+        self.answer(request, AttemptEnd::Refused { refusal, arrived }, None);
     }
 
     /// Gives a request a slot.
@@ -456,15 +461,17 @@
             .iter()
             .any(|harm| matches!(harm, Harm::Sheds(part) if chance < *part));
         if sheds {
-            self.fleet.hosts[host].queue.leave(Some(Duration::ZERO));
+            self.fleet.hosts[host].queue.release(Some(Duration::ZERO));
             let refusal = Refusal::not_run("target shed the request", SHED_AGAIN);
             let arrived = true;
-            self.answer(request, Ended::Refused { refusal, arrived }, None);
+            self.answer(request, AttemptEnd::Refused { refusal, arrived }, None);
             return self.grant(host);
         }
         let held = &self.requests[request];
         let of = &self.load.kinds[held.kind];
-        self.fleet.hosts[host].runs.start(held.tries.arrivals > 0);
+        self.fleet.hosts[host]
+            .runs
+            .start(held.attempts.arrivals > 0);
         self.figures.runs[of.service][self.fleet.hosts[host].index] += 1;
         match of.calls.filter(|calls| self.rng.f64() < calls.share) {
             None => self.work(request),
@@ -507,13 +514,13 @@
             .harms(self.load, self.now)
             .any(|harm| matches!(harm, Harm::Fails(part) if chance < part));
         let is_fault = fails || held.has_failed_call;
-        self.fleet.hosts[host].runs.end(held.tries.arrivals > 0);
+        self.fleet.hosts[host].runs.end(held.attempts.arrivals > 0);
         let queue = &mut self.fleet.hosts[host].queue;
-        queue.leave(Some(ran));
+        queue.release(Some(ran));
         if let Some(usual) = usual.filter(|_| !is_fault) {
-            queue.note_run(ran, usual);
+            queue.record_run(ran, usual);
         }
-        let answer = Ended::Answered {
+        let answer = AttemptEnd::Answered {
             answer: is_fault,
             is_fault,
         };
@@ -522,19 +529,19 @@
     }
 
     fn grant(&mut self, host: usize) {
-        while let Some(request) = self.fleet.hosts[host].queue.grant() {
+        while let Some(request) = self.fleet.hosts[host].queue.admit_next() {
             self.enter(request);
         }
     }
 
     /// Sends the outcome of a try back, with what the node tells of its target.
-    fn answer(&mut self, request: usize, ended: Ended<bool>, ran: Option<Duration>) {
+    fn answer(&mut self, request: usize, ended: AttemptEnd<bool>, ran: Option<Duration>) {
         let held = &self.requests[request];
         let body = self.load.kinds[held.kind].body;
         let queue = &self.fleet.hosts[held.at].queue;
         let report = Report {
             load: Some(queue.load()),
-            slowdown: Some(queue.pace()),
+            slowdown: Some(queue.slowdown()),
             run_time: ran,
             is_large: is_large(body),
         };
@@ -551,22 +558,23 @@
         let of = &self.load.kinds[held.kind];
         let took = self.now - held.sent;
         let (end, arrived) = match &ended {
-            Ended::Answered { is_fault: true, .. } => (AttemptResult::Failed, true),
-            Ended::Answered { .. } => (AttemptResult::Answered(took), true),
-            Ended::Refused { refusal, arrived } if refusal.outcome == Outcome::NotRun => {
+            AttemptEnd::Answered { is_fault: true, .. } => (AttemptResult::Failed, true),
+            AttemptEnd::Answered { .. } => (AttemptResult::Answered(took), true),
+            AttemptEnd::Refused { refusal, arrived } if refusal.outcome == Outcome::NotRun => {
                 (AttemptResult::Refused, *arrived)
             }
-            Ended::Refused { arrived, .. } => (AttemptResult::Failed, *arrived),
-            Ended::TargetEnded(_) => (AttemptResult::Failed, true),
+            AttemptEnd::Refused { arrived, .. } => (AttemptResult::Failed, *arrived),
+            AttemptEnd::TargetCrashed(_) => (AttemptResult::Failed, true),
         };
         let member: &Member = &self.fleet.hosts[held.at].member.clone();
         let home = &mut self.fleet.hosts[held.home];
         home.balancer
             .finish(member, &self.routes[held.kind], end, report, now);
-        if held.tries.arrivals == 0 && arrived {
-            home.allowance.arrive(&self.fleet.services[of.service], now);
+        if held.attempts.arrivals == 0 && arrived {
+            home.retry_budget
+                .note_arrival(&self.fleet.services[of.service], now);
         }
-        match held.tries.take(of.kind, ended) {
+        match held.attempts.record(of.kind, ended) {
             Some(result) => self.end(request, result),
             None => self.ask(request),
         }
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -20,9 +20,9 @@
         self,
         decision::{
             age::Ages,
-            allowance::{Again, Allowance, Rule},
             balance::{AttemptResult, Balancer, Choice, Criteria, Report},
             reach,
+            retry_budget::{Retry, RetryBudget, Rule},
             split::Split,
         },
         flow::Flow,
@@ -294,9 +294,9 @@
 fn arrival(priority: u8, max_wait: u64) -> Arrival {
     Arrival {
         priority,
-        patience: Duration::from_millis(max_wait),
+        max_wait: Duration::from_millis(max_wait),
         due: Instant::now() + Duration::from_secs(1),
-        usual: None,
+        usual_run_time: None,
     }
 }
 
@@ -528,18 +528,18 @@
         let outflow = Flow::new(15);
         let slack = Duration::from_millis(500);
         let mut reserved = Vec::new();
-        while let Ok(reservation) = outflow.count_in(90_000, slack) {
+        while let Ok(reservation) = outflow.reserve(90_000, slack) {
             reserved.push(reservation);
         }
         assert_eq!(reserved.len(), 9);
-        let excess = outflow.count_in(90_000, slack).unwrap_err();
+        let excess = outflow.reserve(90_000, slack).unwrap_err();
         assert!(excess < Duration::from_millis(54), "{excess:?}");
         reserved.pop();
-        assert!(outflow.count_in(90_000, slack).is_ok(), "one answer was sent");
+        assert!(outflow.reserve(90_000, slack).is_ok(), "one answer was sent");
         reserved.clear();
-        let alone = outflow.count_in(90_000_000, slack);
+        let alone = outflow.reserve(90_000_000, slack);
         assert!(alone.is_ok(), "an answer that is alone is accepted");
-        assert!((0..100).all(|_| Flow::new(0).count_in(90_000, Duration::ZERO).is_ok()));
+        assert!((0..100).all(|_| Flow::new(0).reserve(90_000, Duration::ZERO).is_ok()));
     }
 
     request_age_is_the_time_its_caller_has_used => {
@@ -590,16 +590,16 @@
         let service = name("a");
         let begin = Instant::now();
         let nodes = 13;
-        let mut fleet: Vec<Allowance> = (0..nodes).map(|_| Allowance::new(rule)).collect();
+        let mut fleet: Vec<RetryBudget> = (0..nodes).map(|_| RetryBudget::new(rule)).collect();
         let (mut first, mut retries) = (Vec::new(), Vec::new());
         for step in 0..40_000u64 {
             let now = begin + Duration::from_millis(step);
             // The traffic shifts from node to node.
             let busy = (step / 3000) as usize % nodes;
             let node = if rng.bool() { busy } else { rng.usize(..nodes) };
-            fleet[node].earn(&service, 0.0, now);
+            fleet[node].note_first_send(&service, 0.0, now);
             first.push(step);
-            if rng.f64() < 0.6 && fleet[node].spend(&service, Again::NotRun, nodes, now) {
+            if rng.f64() < 0.6 && fleet[node].spend(&service, Retry::NotRun, nodes, now) {
                 retries.push(step);
             }
         }
@@ -612,12 +612,12 @@
         let rule = Rule { ratio: 0.2, slack: 0.0, window: Duration::from_secs(10) };
         let service = name("a");
         let begin = Instant::now();
-        let mut allowance = Allowance::new(rule);
+        let mut budget = RetryBudget::new(rule);
         let mut retries = Vec::new();
         for step in 0..3000u64 {
             let now = begin + Duration::from_millis(step * 10);
-            allowance.earn(&service, 0.0, now);
-            if step > 1200 && allowance.spend(&service, Again::NotRun, 1, now) {
+            budget.note_first_send(&service, 0.0, now);
+            if step > 1200 && budget.spend(&service, Retry::NotRun, 1, now) {
                 retries.push(step);
             }
         }
@@ -635,11 +635,11 @@
         let now = Instant::now();
         // Of 100 requests 20 may be repeated. The node itself retries 14, and fewer if some of
         // the 100 are calls of repeats.
-        for (carried, left) in [(0.0, 14), (0.1, 4), (0.2, 0)] {
-            let mut allowance = Allowance::new(rule);
-            (0..100).for_each(|_| allowance.earn(&service, carried, now));
-            let spent = (0..100).filter(|_| allowance.spend(&service, Again::NotRun, 1, now));
-            assert_eq!(spent.count(), left, "{carried}");
+        for (repeat_chance, left) in [(0.0, 14), (0.1, 4), (0.2, 0)] {
+            let mut budget = RetryBudget::new(rule);
+            (0..100).for_each(|_| budget.note_first_send(&service, repeat_chance, now));
+            let spent = (0..100).filter(|_| budget.spend(&service, Retry::NotRun, 1, now));
+            assert_eq!(spent.count(), left, "{repeat_chance}");
         }
     }
 
@@ -647,17 +647,17 @@
         let rule = Rule { ratio: 0.2, slack: 0.0, window: Duration::from_secs(10) };
         let (called, other) = (name("a"), name("b"));
         let begin = Instant::now();
-        let mut allowance = Allowance::new(rule);
-        assert!(allowance.carries(1, begin));
-        (0..100).for_each(|_| allowance.earn(&other, 0.0, begin));
-        (0..90).for_each(|_| allowance.earn(&called, 0.0, begin));
-        assert!(allowance.carries(1, begin));
+        let mut budget = RetryBudget::new(rule);
+        assert!(budget.has_room_for_calls(1, begin));
+        (0..100).for_each(|_| budget.note_first_send(&other, 0.0, begin));
+        (0..90).for_each(|_| budget.note_first_send(&called, 0.0, begin));
+        assert!(budget.has_room_for_calls(1, begin));
         // All of these are calls of repeats.
-        (0..20).for_each(|_| allowance.earn(&called, 1.0, begin));
-        assert!(!allowance.carries(1, begin));
+        (0..20).for_each(|_| budget.note_first_send(&called, 1.0, begin));
+        assert!(!budget.has_room_for_calls(1, begin));
         // They no longer count once the window and the step in which they were sent have passed.
         let later = begin + Duration::from_millis(11_001);
-        assert!(allowance.carries(1, later));
+        assert!(budget.has_room_for_calls(1, later));
     }
 
     retry_budget_includes_the_calls_of_repeats => {
@@ -666,24 +666,24 @@
         let (parents, calls) = (name("a"), name("b"));
         let begin = Instant::now();
         let nodes = 13;
-        let mut fleet: Vec<Allowance> = (0..nodes).map(|_| Allowance::new(rule)).collect();
+        let mut fleet: Vec<RetryBudget> = (0..nodes).map(|_| RetryBudget::new(rule)).collect();
         let (mut first, mut retries) = (Vec::new(), Vec::new());
         for step in 0..40_000u64 {
             let now = begin + Duration::from_millis(step);
-            let allowance = &mut fleet[rng.usize(0..nodes)];
-            allowance.earn(&parents, 0.0, now);
+            let budget = &mut fleet[rng.usize(0..nodes)];
+            budget.note_first_send(&parents, 0.0, now);
             // Under overload only every third request is admitted by the gate of its target.
             if step / 10_000 % 2 == 1 && step % 3 != 0 {
                 continue;
             }
             // Each admitted request makes two calls, and half of all requests fail at either service.
-            allowance.arrive(&parents, now);
-            let repeats = rng.bool() && allowance.spend(&parents, Again::Repeated, nodes, now);
+            budget.note_arrival(&parents, now);
+            let repeats = rng.bool() && budget.spend(&parents, Retry::Repeated, nodes, now);
             for run in 0..1 + u32::from(repeats) {
                 for _ in 0..2 {
-                    fleet[rng.usize(0..nodes)].earn(&calls, 0.0, now);
+                    fleet[rng.usize(0..nodes)].note_first_send(&calls, 0.0, now);
                     if run == 0 { first.push(step) } else { retries.push(step) }
-                    if rng.bool() && fleet[rng.usize(0..nodes)].spend(&calls, Again::NotRun, nodes, now) {
+                    if rng.bool() && fleet[rng.usize(0..nodes)].spend(&calls, Retry::NotRun, nodes, now) {
                         retries.push(step);
                     }
                 }
@@ -1429,26 +1429,26 @@
         // ahead of the link.
         let outflow = Flow::new(15);
         let since = Instant::now();
-        outflow.enter(90_000).await;
-        assert!(outflow.enter(90_000_000).now_or_never().is_none(), "the link is still busy");
+        outflow.wait_for_link(90_000).await;
+        assert!(outflow.wait_for_link(90_000_000).now_or_never().is_none(), "the link is still busy");
         for _ in 0..9 {
-            outflow.enter(90_000).await;
+            outflow.wait_for_link(90_000).await;
         }
         assert!(since.elapsed() >= Duration::from_millis(425), "{:?}", since.elapsed());
         // The cancelled answer, which would take about a minute, used nothing of the link.
         assert!(since.elapsed() < Duration::from_secs(60));
         // A wide link delays no answer, nor does one of unknown bandwidth.
         for wide in [Flow::new(100_000), Flow::new(0)] {
-            assert!((0..100).all(|_| wide.enter(90_000).now_or_never().is_some()));
+            assert!((0..100).all(|_| wide.wait_for_link(90_000).now_or_never().is_some()));
         }
     }
 
     gate_grants_each_slot_once_and_leaves_none_idle => {
         let gate = Gate::new();
-        gate.open(target("i1", 2));
-        let first = gate.enter(arrival(1, LONG)).await.ok().unwrap();
-        let _second = gate.enter(arrival(1, LONG)).await.ok().unwrap();
-        let third = gate.enter(arrival(1, LONG));
+        gate.set_target(target("i1", 2));
+        let first = gate.acquire(arrival(1, LONG)).await.ok().unwrap();
+        let _second = gate.acquire(arrival(1, LONG)).await.ok().unwrap();
+        let third = gate.acquire(arrival(1, LONG));
         let mut third = Box::pin(third);
         assert!(third.as_mut().now_or_never().is_none());
         assert_eq!(gate.load(), Load { running: 2, waiting: 1, slots: 2 });
@@ -1458,10 +1458,10 @@
 
     gate_admits_higher_priorities_first => {
         let gate = Gate::new();
-        gate.open(target("i1", 1));
-        let permit = gate.enter(arrival(1, LONG)).await.ok().unwrap();
-        let mut low = Box::pin(gate.enter(arrival(2, LONG)));
-        let mut high = Box::pin(gate.enter(arrival(0, LONG)));
+        gate.set_target(target("i1", 1));
+        let permit = gate.acquire(arrival(1, LONG)).await.ok().unwrap();
+        let mut low = Box::pin(gate.acquire(arrival(2, LONG)));
+        let mut high = Box::pin(gate.acquire(arrival(0, LONG)));
         assert!(low.as_mut().now_or_never().is_none());
         assert!(high.as_mut().now_or_never().is_none());
         drop(permit);
@@ -1473,11 +1473,11 @@
 
     gate_admits_the_earliest_due_time_first_at_equal_priority => {
         let gate = Gate::new();
-        gate.open(target("i1", 1));
-        let permit = gate.enter(arrival(1, LONG)).await.ok().unwrap();
-        let mut request = Box::pin(gate.enter(arrival(1, LONG)));
-        let due_soon = Arrival { usual: Some(Duration::from_millis(10)), ..arrival_due(400) };
-        let mut call = Box::pin(gate.enter(due_soon));
+        gate.set_target(target("i1", 1));
+        let permit = gate.acquire(arrival(1, LONG)).await.ok().unwrap();
+        let mut request = Box::pin(gate.acquire(arrival(1, LONG)));
+        let due_soon = Arrival { usual_run_time: Some(Duration::from_millis(10)), ..arrival_due(400) };
+        let mut call = Box::pin(gate.acquire(due_soon));
         assert!(request.as_mut().now_or_never().is_none());
         assert!(call.as_mut().now_or_never().is_none());
         drop(permit);
@@ -1489,14 +1489,14 @@
 
     gate_admits_late_requests_after_those_that_can_finish_in_time => {
         let gate = Gate::new();
-        gate.open(target("i1", 4));
+        gate.set_target(target("i1", 4));
         let mut permits = Vec::new();
         for _ in 0..4 {
-            permits.push(gate.enter(arrival(1, LONG)).await.ok().unwrap());
+            permits.push(gate.acquire(arrival(1, LONG)).await.ok().unwrap());
         }
-        let mut late = Box::pin(gate.enter(arrival_due(-50)));
+        let mut late = Box::pin(gate.acquire(arrival_due(-50)));
         assert!(late.as_mut().now_or_never().is_none(), "a late request waits for an unused slot");
-        let mut fresh = Box::pin(gate.enter(arrival_due(800)));
+        let mut fresh = Box::pin(gate.acquire(arrival_due(800)));
         assert!(fresh.as_mut().now_or_never().is_none());
         permits.pop();
         assert!(late.as_mut().now_or_never().is_none());
@@ -1507,53 +1507,53 @@
 
     gate_rejects_at_once_a_request_that_the_queue_makes_late => {
         let gate = Gate::new();
-        gate.open(target("i1", 4));
+        gate.set_target(target("i1", 4));
         let mut permits = Vec::new();
         for _ in 0..4 {
-            permits.push(gate.enter(arrival(1, LONG)).await.ok().unwrap());
+            permits.push(gate.acquire(arrival(1, LONG)).await.ok().unwrap());
         }
-        let mut fresh = Box::pin(gate.enter(arrival_due(800)));
+        let mut fresh = Box::pin(gate.acquire(arrival_due(800)));
         assert!(fresh.as_mut().now_or_never().is_none());
-        let refused = gate.enter(arrival_due(100)).now_or_never();
+        let refused = gate.acquire(arrival_due(100)).now_or_never();
         assert_eq!(refused.unwrap().err().unwrap().reason, gate::FULL, "the request can't finish within 100 ms");
     }
 
     closed_gate_rejects_waiting_requests_as_not_run => {
         let gate = Gate::new();
-        gate.open(target("i1", 1));
-        let _permit = gate.enter(arrival(1, LONG)).await.ok().unwrap();
-        let mut waiting = Box::pin(gate.enter(arrival(1, LONG)));
+        gate.set_target(target("i1", 1));
+        let _permit = gate.acquire(arrival(1, LONG)).await.ok().unwrap();
+        let mut waiting = Box::pin(gate.acquire(arrival(1, LONG)));
         assert!(waiting.as_mut().now_or_never().is_none());
         gate.close();
         let refusal = waiting.await.err().unwrap();
         assert_eq!(refusal.outcome, Outcome::NotRun);
         assert_eq!(refusal.reason, gate::LEAVING);
-        assert!(gate.enter(arrival(0, LONG)).await.is_err());
+        assert!(gate.acquire(arrival(0, LONG)).await.is_err());
     }
 
     slot_granted_to_a_cancelled_waiter_is_released => {
         let gate = Gate::new();
-        gate.open(target("i1", 1));
-        let permit = gate.enter(arrival(1, LONG)).await.ok().unwrap();
-        let mut cancelled = Box::pin(gate.enter(arrival(0, LONG)));
+        gate.set_target(target("i1", 1));
+        let permit = gate.acquire(arrival(1, LONG)).await.ok().unwrap();
+        let mut cancelled = Box::pin(gate.acquire(arrival(0, LONG)));
         assert!(cancelled.as_mut().now_or_never().is_none());
         // The slot is granted just before the request is cancelled.
         drop(permit);
         drop(cancelled);
         assert_eq!(gate.load().running, 0);
-        assert!(gate.enter(arrival(1, 0)).await.is_ok());
+        assert!(gate.acquire(arrival(1, 0)).await.is_ok());
     }
 
     displaced_and_cancelled_waiter_releases_no_slot => {
         let gate = Gate::new();
-        gate.open(target("i1", 1));
-        let _permit = gate.enter(arrival(1, LONG)).await.ok().unwrap();
-        let mut waiting: Vec<_> = (0..2).map(|_| Box::pin(gate.enter(arrival(2, LONG)))).collect();
+        gate.set_target(target("i1", 1));
+        let _permit = gate.acquire(arrival(1, LONG)).await.ok().unwrap();
+        let mut waiting: Vec<_> = (0..2).map(|_| Box::pin(gate.acquire(arrival(2, LONG)))).collect();
         for waiter in &mut waiting {
             assert!(waiter.as_mut().now_or_never().is_none());
         }
         // A request of higher priority displaces the last waiter, which is cancelled at once.
-        let mut first = Box::pin(gate.enter(arrival(0, LONG)));
+        let mut first = Box::pin(gate.acquire(arrival(0, LONG)));
         assert!(first.as_mut().now_or_never().is_none());
         drop(waiting.pop());
         assert_eq!(gate.load().running, 1, "the slot is still held");
@@ -1562,9 +1562,9 @@
 
     full_gate_rejects_at_once_a_request_that_would_wait_too_long => {
         let gate = Gate::new();
-        gate.open(target("i1", 1));
-        let _permit = gate.enter(arrival(1, LONG)).await.ok().unwrap();
-        let refusal = gate.enter(arrival(1, 1)).await.err().unwrap();
+        gate.set_target(target("i1", 1));
+        let _permit = gate.acquire(arrival(1, LONG)).await.ok().unwrap();
+        let refusal = gate.acquire(arrival(1, 1)).await.err().unwrap();
         assert_eq!(refusal.reason, gate::FULL);
         assert!(refusal.retry_after.is_some());
         assert_eq!(gate.load().waiting, 0);
