--- a/src/coordination/catchup.rs
+++ b/src/coordination/catchup.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, sync::Arc};
 
 use crate::{
-    coordination::{Error, link::Call, node::Node},
+    coordination::{Error, interface::Call, node::Node},
     event::Event,
     protocol::wire::{Frame, Reply},
     state::version::Version,
--- a/src/coordination/follow.rs
+++ b/src/coordination/follow.rs
@@ -14,7 +14,7 @@
 use crate::{
     coordination::{
         Error, catchup, gossip,
-        link::{Call, Log},
+        interface::{Call, Log},
         node::{LogFault, Node},
         rank, scatter, snapshot,
     },
--- a/src/coordination/gossip.rs
+++ b/src/coordination/gossip.rs
@@ -22,7 +22,7 @@
 use futures_util::future::join_all;
 
 use crate::{
-    coordination::{Error, catchup, link::Call, node::Node, rank},
+    coordination::{Error, catchup, interface::Call, node::Node, rank},
     id,
     protocol::wire::{Frame, News, Reply},
     state::{
--- a/src/coordination/host.rs
+++ b/src/coordination/host.rs
@@ -25,11 +25,11 @@
         },
         flow::Flow,
         gate::Gate,
-        link::{Stream, Words},
+        interface::{Decoders, Stream},
         local::Local,
         review::Reviews,
         rollout::Rollouts,
-        watch::Silent,
+        watch::Skipped,
     },
     event::{Event, Journal},
     host::{
@@ -65,7 +65,7 @@
     /// The settings.
     pub settings: Settings,
     /// Decoders for the platform's encoding, and its header names.
-    pub words: Words,
+    pub decoders: Decoders,
     /// The log.
     pub journal: Journal,
     /// Counters and histograms.
@@ -81,19 +81,19 @@
     /// The retry budget.
     pub retry_budget: Mutex<RetryBudget>,
     /// Estimates of how long callers have been retrying.
-    pub ages: Mutex<Ages>,
+    pub request_ages: Mutex<Ages>,
     /// Which requests are quarantined because targets crash under them.
     pub reviews: Reviews,
     /// Paces large responses over the host's network link.
-    pub outflow: Flow,
+    pub response_flow: Flow,
     /// Weighted distribution of requests on split routes.
     pub split: Mutex<Split>,
     /// Which release of a service receives its requests.
     pub rollouts: Rollouts,
     /// Wakes the duty that writes this node's record to the store.
-    pub changed: Notify,
+    pub own_record_changed: Notify,
     /// Wakes the duty that probes unreachable nodes.
-    pub lost: Notify,
+    pub node_unreachable: Notify,
     grace: Mutex<Span>,
     is_leaving: AtomicBool,
     routes: ArcSwapOption<routing::Table>,
@@ -101,7 +101,7 @@
     in_force_since: Mutex<Option<Instant>>,
     /// The offset up to which each stream is known, by [`Stream`].
     offsets: [watch::Sender<Option<u64>>; 2],
-    is_settled: watch::Sender<bool>,
+    is_membership_settled: watch::Sender<bool>,
     is_reading: watch::Sender<bool>,
     /// Nodes directly before this one in the ranking that can't read the store, so that
     /// this node reads it in their place.
@@ -110,7 +110,7 @@
     is_store_unreadable: AtomicBool,
     is_store_up: watch::Sender<bool>,
     read_failed: Notify,
-    unreachable: Mutex<Silent>,
+    unreachable: Mutex<Skipped>,
     hint: Mutex<Hint>,
     hint_arrived: Notify,
 }
@@ -166,9 +166,9 @@
     }
 
     /// Returns the state of a starting process, without routes and members.
-    pub fn new(settings: Settings, words: Words, journal: Journal) -> Self {
+    pub fn new(settings: Settings, decoders: Decoders, journal: Journal) -> Self {
         Self {
-            words,
+            decoders,
             journal,
             metrics: Metrics::new(),
             gate: Gate::new(),
@@ -177,19 +177,19 @@
             balancer: Mutex::default(),
             retry_budget: Mutex::new(RetryBudget::new(retry_rule(&settings))),
             grace: Mutex::new(settings.grace),
-            ages: Mutex::default(),
+            request_ages: Mutex::default(),
             reviews: Reviews::default(),
-            outflow: Flow::new(settings.bandwidth()),
+            response_flow: Flow::new(settings.bandwidth()),
             split: Mutex::default(),
             rollouts: Rollouts::new(settings.exposure.map(|exposure| exposure.share)),
-            changed: Notify::new(),
-            lost: Notify::new(),
+            own_record_changed: Notify::new(),
+            node_unreachable: Notify::new(),
             is_leaving: AtomicBool::new(false),
             routes: ArcSwapOption::empty(),
             past_versions: Mutex::default(),
             in_force_since: Mutex::default(),
             offsets: [watch::Sender::new(None), watch::Sender::new(None)],
-            is_settled: watch::Sender::new(false),
+            is_membership_settled: watch::Sender::new(false),
             is_reading: watch::Sender::new(false),
             failed_readers: AtomicU8::new(0),
             is_store_unreadable: AtomicBool::new(false),
@@ -239,7 +239,7 @@
     /// If the record can't be decoded. It is then rejected as a whole, and the log has the
     /// reason.
     pub fn apply_record(&self, record: &[u8], from: &str) -> Result<Option<Delta>, Unusable> {
-        let table = (self.words.routes)(record).map_err(|error| {
+        let table = (self.decoders.routes)(record).map_err(|error| {
             self.reject_routes(&error, from);
             Unusable
         })?;
@@ -315,10 +315,10 @@
     }
 
     /// Merges records of members into the table.
-    pub fn take_members(&self, members: Vec<Member>, from: &str) {
+    pub fn merge_members(&self, members: Vec<Member>, from: &str) {
         if members.len() <= MAX_LOGGED_MEMBERS {
             for member in members {
-                self.take_member(member, from);
+                self.merge_member(member, from);
             }
             return;
         }
@@ -343,7 +343,7 @@
     }
 
     /// Merges the record of a member into the table. Returns whether it changed the table.
-    pub fn take_member(&self, member: Member, from: &str) -> bool {
+    pub fn merge_member(&self, member: Member, from: &str) -> bool {
         let (node, domain) = (member.node.clone(), member.domain.clone());
         let (status, targets) = (member.status, targets_text(&member));
         let has_evidence = !member.evidence.is_empty();
@@ -364,7 +364,7 @@
     }
 
     /// Records that a stream is known up to an offset.
-    pub fn known_to(&self, stream: Stream, offset: u64) {
+    pub fn advance_offset(&self, stream: Stream, offset: u64) {
         self.offsets[stream as usize].send_if_modified(|known| {
             let is_later = known.is_none_or(|known| known < offset);
             if is_later {
@@ -375,7 +375,7 @@
     }
 
     /// Returns the offset up to which a stream is known, if it was ever read.
-    pub fn at(&self, stream: Stream) -> Option<u64> {
+    pub fn offset(&self, stream: Stream) -> Option<u64> {
         *self.offsets[stream as usize].borrow()
     }
 
@@ -388,20 +388,20 @@
 
     /// Marks the membership as settled: the nodes of a fleet that starts as a whole have
     /// had the time to write their records to the store.
-    pub fn settle(&self) {
-        self.is_settled.send_replace(true);
+    pub fn note_membership_settled(&self) {
+        self.is_membership_settled.send_replace(true);
     }
 
     /// Returns whether the membership is settled.
-    pub fn is_settled(&self) -> bool {
-        *self.is_settled.borrow()
+    pub fn is_membership_settled(&self) -> bool {
+        *self.is_membership_settled.borrow()
     }
 
     /// Waits until the membership is settled.
-    pub async fn until_settled(&self) {
+    pub async fn until_membership_settled(&self) {
         // Can't fail: the sender lives as long as `self`.
         let _ = self
-            .is_settled
+            .is_membership_settled
             .subscribe()
             .wait_for(|settled| *settled)
             .await;
@@ -443,11 +443,11 @@
     }
 
     /// Returns the version and the offsets that this node has reached.
-    pub fn seen(&self) -> Seen {
+    pub fn progress(&self) -> Seen {
         Seen {
             version: self.version(),
-            members: self.at(Stream::Members).unwrap_or(0),
-            routes: self.at(Stream::Routes).unwrap_or(0),
+            members: self.offset(Stream::Members).unwrap_or(0),
+            routes: self.offset(Stream::Routes).unwrap_or(0),
             blind: self.consecutive_failed_readers(),
         }
     }
@@ -466,12 +466,12 @@
     }
 
     /// Records that a node did not answer. It counts as unreachable until the given time.
-    pub fn note_silent(&self, node: &Node, until: Instant) {
+    pub fn note_unreachable(&self, node: &Node, until: Instant) {
         self.unreachable.lock().insert(node.clone(), until);
     }
 
     /// Returns whether a node counts as unreachable.
-    pub fn is_silent(&self, node: &Node, now: Instant) -> bool {
+    pub fn is_unreachable(&self, node: &Node, now: Instant) -> bool {
         self.unreachable
             .lock()
             .get(node)
@@ -482,14 +482,14 @@
     /// the evidence about quarantined requests was reviewed once.
     pub fn is_ready(&self) -> bool {
         self.routes.load().is_some()
-            && self.at(Stream::Members).is_some()
+            && self.offset(Stream::Members).is_some()
             && self.reviews.are_done()
     }
 
     /// Records a hint if a peer's version or its offset of the members is newer than this
     /// node's.
-    pub fn hear_of(&self, version: u64, members: u64, peer: SocketAddr) {
-        let is_behind = version > self.version() || Some(members) > self.at(Stream::Members);
+    pub fn note_newer(&self, version: u64, members: u64, peer: SocketAddr) {
+        let is_behind = version > self.version() || Some(members) > self.offset(Stream::Members);
         if !is_behind {
             return;
         }
@@ -550,7 +550,7 @@
 
     /// Returns whether a duty that follows the store retries its reads while they fail.
     pub fn is_polling_store(&self) -> bool {
-        *self.is_reading.borrow() || self.at(Stream::Members).is_none()
+        *self.is_reading.borrow() || self.offset(Stream::Members).is_none()
     }
 
     /// Returns the metrics as text.
@@ -559,7 +559,7 @@
         let members = self.members.read();
         let unreachable = members
             .iter()
-            .filter(|m| self.is_silent(&m.node, now))
+            .filter(|m| self.is_unreachable(&m.node, now))
             .count();
         self.metrics.text(&metrics::Now {
             version: self.version(),
@@ -581,9 +581,9 @@
 
     /// Waits until the network link has capacity for a response of `bytes`. Small responses
     /// and those of unknown size don't wait.
-    pub async fn until_room(&self, bytes: Option<usize>) {
+    pub async fn until_bandwidth_free(&self, bytes: Option<usize>) {
         if let Some(bytes) = bytes.filter(|bytes| balance::is_large(*bytes)) {
-            self.outflow.wait_for_link(bytes).await;
+            self.response_flow.wait_for_link(bytes).await;
         }
     }
 
--- a/src/coordination/link.rs
+++ b/src/coordination/interface.rs
@@ -59,17 +59,17 @@
     /// Writes a key and its record to the stream of the members.
     pub put: Arc<dyn Fn(String, Bytes) -> ResultFuture<()> + Send + Sync>,
     /// Returns the status, for operators, of the latest roll-out order for a service.
-    pub said: Arc<dyn Fn(Name) -> ResultFuture<Said> + Send + Sync>,
+    pub read_status: Arc<dyn Fn(Name) -> ResultFuture<StatusRecord> + Send + Sync>,
     /// Writes the status of an order if the stream of statuses still ends at the given
     /// offset. Returns whether the status was written.
-    pub say: Arc<dyn Fn(Word, u64) -> ResultFuture<bool> + Send + Sync>,
+    pub write_status: Arc<dyn Fn(Word, u64) -> ResultFuture<bool> + Send + Sync>,
 }
 
 /// The status of a roll-out order, for operators.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Said {
+pub struct StatusRecord {
     /// The status, if one was written.
-    pub word: Option<Word>,
+    pub status: Option<Word>,
     /// The end offset of the stream of all statuses.
     pub end: u64,
 }
@@ -97,13 +97,13 @@
 
 /// Decoders for the platform's encoding, its acknowledgement and its header names.
 #[derive(Clone)]
-pub struct Words {
+pub struct Decoders {
     /// Decodes versions of the routes.
     pub routes: Arc<DecodeRoutes>,
     /// Decodes roll-out orders.
     pub order: Arc<DecodeOrder>,
     /// Decodes calls from a target.
-    pub announcement: Arc<DecodeCall>,
+    pub target_call: Arc<DecodeCall>,
     /// The response body that acknowledges a call from a target.
     pub acknowledgement: Bytes,
     /// The header names that callers and targets use.
@@ -111,11 +111,11 @@
 }
 
 /// Sends a request to the node at an address and returns its encoded answer.
-pub type Ask = Arc<dyn Fn(SocketAddr, Question) -> ResultFuture<Bytes> + Send + Sync>;
+pub type CallPeer = Arc<dyn Fn(SocketAddr, PeerRequest) -> ResultFuture<Bytes> + Send + Sync>;
 
 /// A request from one node to another.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Question {
+pub enum PeerRequest {
     /// Asks for the version of the routes in force. The number is the version that the
     /// requester has. The answer is a [`Delta`](crate::state::routing::Delta) from that
     /// version. A node without a version answers with an error.
@@ -126,7 +126,7 @@
     Members(Vec<u32>),
     /// Asks for the version and the offsets that the node has reached. The answer is a
     /// [`Seen`](crate::protocol::news::Seen).
-    Seen,
+    Progress,
     /// Delivers records that another node read, to apply and to relay.
-    Take(News),
+    Deliver(News),
 }
--- a/src/coordination/local.rs
+++ b/src/coordination/local.rs
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 pub struct Local {
     heartbeat_interval: Span,
-    is_recalled: bool,
+    is_restored: bool,
     current: Option<Current>,
     former: Vec<Former>,
 }
@@ -52,7 +52,7 @@
 }
 
 impl Current {
-    fn recalled(target: Target, now: Instant) -> Self {
+    fn restored(target: Target, now: Instant) -> Self {
         Self {
             target,
             sequence: 0,
@@ -68,7 +68,7 @@
     Nothing,
     /// The state that this node publishes changed. It must be written to the store
     /// before the message is acknowledged.
-    Told,
+    Publish,
 }
 
 impl Local {
@@ -76,7 +76,7 @@
     pub fn new(heartbeat_interval: Span) -> Self {
         Self {
             heartbeat_interval,
-            is_recalled: false,
+            is_restored: false,
             current: None,
             former: Vec::new(),
         }
@@ -94,12 +94,12 @@
     /// now. Most incarnations of this node end before their target does, and waiting for
     /// the next heartbeat would leave a working target unused for a second. If the target
     /// is gone, or another instance runs at its address, requests to it fail as not run
-    /// and [`Local::doubt`] closes the gate.
-    pub fn recall(&mut self, written: Option<&Member>, now: Instant) {
-        if std::mem::replace(&mut self.is_recalled, true) {
+    /// and [`Local::mark_unreachable`] closes the gate.
+    pub fn restore(&mut self, recorded: Option<&Member>, now: Instant) {
+        if std::mem::replace(&mut self.is_restored, true) {
             return;
         }
-        let Some(target) = written.and_then(|member| member.targets.first()) else {
+        let Some(target) = recorded.and_then(|member| member.targets.first()) else {
             return;
         };
         match &mut self.current {
@@ -109,7 +109,7 @@
             }
             // The heartbeat received since the start was a late one of an older instance.
             Some(current) if current.target.instance.is_before(&target.instance) => {
-                self.replace(Some(Current::recalled(target.clone(), now)));
+                self.replace(Some(Current::restored(target.clone(), now)));
             }
             Some(_) => self.retire(target.instance.clone(), target.draining),
             None => {
@@ -118,13 +118,13 @@
                 let has_left = former.any(|f| f.instance.may_be(&target.instance));
                 let mut target = target.clone();
                 target.draining |= has_left;
-                self.current = Some(Current::recalled(target, now));
+                self.current = Some(Current::restored(target, now));
             }
         }
     }
 
     /// Applies a heartbeat, and returns its effect.
-    pub fn hear(&mut self, heartbeat: &Heartbeat, now: Instant) -> Change {
+    pub fn apply_heartbeat(&mut self, heartbeat: &Heartbeat, now: Instant) -> Change {
         // A target that reports its start time does so in every heartbeat. A heartbeat
         // without one comes from another sender.
         let has_start_time = |instance: &Instance| instance.born().is_some();
@@ -175,7 +175,7 @@
                 let has_changed = current.target != announced;
                 current.target = announced;
                 if has_changed {
-                    Change::Told
+                    Change::Publish
                 } else {
                     Change::Nothing
                 }
@@ -186,7 +186,7 @@
                     sequence: heartbeat.sequence,
                     last_heartbeat: Some(now),
                 }));
-                Change::Told
+                Change::Publish
             }
         }
     }
@@ -199,7 +199,7 @@
                 if was_draining {
                     Change::Nothing
                 } else {
-                    Change::Told
+                    Change::Publish
                 }
             }
             // Another instance, or one unknown to this incarnation of the node: a late
@@ -213,13 +213,13 @@
 
     /// Returns whether the record of the earlier incarnation has been merged. Until then,
     /// a drain of the recorded instance looks like a drain of an unknown one.
-    pub fn is_recalled(&self) -> bool {
-        self.is_recalled
+    pub fn is_restored(&self) -> bool {
+        self.is_restored
     }
 
     /// Marks the target as gone if it missed too many heartbeats. Returns whether this
     /// call marked it.
-    pub fn fell_silent(&mut self, now: Instant) -> bool {
+    pub fn check_missed_heartbeats(&mut self, now: Instant) -> bool {
         let max_silence = self.heartbeat_interval.duration() * MAX_MISSED_HEARTBEATS;
         let Some(current) = &mut self.current else {
             return false;
@@ -235,7 +235,7 @@
 
     /// Considers an instance gone until its next heartbeat, because nothing answers at its
     /// address or another instance does. Returns whether it was considered running.
-    pub fn doubt(&mut self, instance: &Instance) -> bool {
+    pub fn mark_unreachable(&mut self, instance: &Instance) -> bool {
         let current = self.current.as_mut();
         let matching = current.filter(|current| current.target.instance == *instance);
         matching.is_some_and(|current| current.last_heartbeat.take().is_some())
@@ -254,13 +254,13 @@
     }
 
     /// Returns the target as published to other nodes; empty if there is none.
-    pub fn told(&self) -> Vec<Target> {
+    pub fn announced(&self) -> Vec<Target> {
         self.current.iter().map(|c| c.target.clone()).collect()
     }
 
     /// Returns the target for which the gate may open, if there is one.
     pub fn open(&self) -> Option<gate::Target> {
-        let current = self.current.as_ref().filter(|_| self.is_recalled)?;
+        let current = self.current.as_ref().filter(|_| self.is_restored)?;
         let is_available = current.last_heartbeat.is_some() && !current.target.draining;
         is_available.then(|| gate::Target {
             instance: current.target.instance.clone(),
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -9,7 +9,7 @@
 //! The duties and the request path are built from:
 //!
 //! * [`node`]: the state that all duties of one daemon share;
-//! * [`link`]: the interfaces to peers and the log, as closures;
+//! * [`interface`]: the interfaces to peers and the log, as closures;
 //! * [`rank`]: which nodes read, relay and write;
 //! * [`scatter`]: sends one message to many nodes and counts their replies;
 //! * [`catchup`]: how a node that is behind catches up;
@@ -44,7 +44,7 @@
 pub mod gossip;
 pub mod health;
 pub mod host;
-pub mod link;
+pub mod interface;
 pub mod local;
 pub mod node;
 pub mod once;
--- a/src/coordination/presence.rs
+++ b/src/coordination/presence.rs
@@ -9,7 +9,7 @@
 use tokio::sync::watch;
 
 use crate::{
-    coordination::{host::Host, link::Store, review, source},
+    coordination::{host::Host, interface::Store, review, source},
     event::Event,
     id::Incarnation,
     journal::note,
@@ -26,25 +26,29 @@
 
 /// The part of this node's record that is known to be in the store.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Written {
+pub struct Recorded {
     /// The targets in the stored record; `None` if the store has no record of this node.
     pub targets: Option<Vec<Target>>,
 }
 
 /// Writes this node's record to the store whenever it changes, and marks members as gone whose
 /// host this node's host has replaced; never returns.
-pub async fn keep_written(host: Arc<Host>, store: Store, written: watch::Sender<Written>) {
+pub async fn maintain_record(
+    host: Arc<Host>,
+    store: Store,
+    recorded_sender: watch::Sender<Recorded>,
+) {
     host.until_members_known().await;
     let recorded = host.members.read().get(&host.settings.node).cloned();
     host.local
         .lock()
-        .recall(recorded.as_deref(), Instant::now());
+        .restore(recorded.as_deref(), Instant::now());
     host.set_gate();
     review::recall(&host);
     let mut member = recorded.as_deref().cloned();
     if member.is_none() {
         // Saves a record: the first one already has the target.
-        drop(tokio::time::timeout(FIRST_HEARTBEAT_WAIT, host.changed.notified()).await);
+        drop(tokio::time::timeout(FIRST_HEARTBEAT_WAIT, host.own_record_changed.notified()).await);
     }
     let mut failures = 0;
     loop {
@@ -54,7 +58,7 @@
         let wanted = wanted_record(&host, member.as_ref());
         let is_written = member.as_ref() == Some(&wanted);
         if is_written {
-            written.send_replace(Written {
+            recorded_sender.send_replace(Recorded {
                 targets: Some(wanted.targets.clone()),
             });
         }
@@ -77,7 +81,7 @@
         match put {
             Ok(()) => {
                 failures = 0;
-                host.take_member(wanted.clone(), "self");
+                host.merge_member(wanted.clone(), "self");
                 if is_own {
                     member = Some(wanted);
                 }
@@ -144,7 +148,7 @@
         peers: advertised.peers,
         inbound: advertised.inbound,
         labels: settings.labels.clone(),
-        targets: host.local.lock().told(),
+        targets: host.local.lock().announced(),
         bandwidth: settings.bandwidth(),
         evidence: host.reviews.evidence(),
     };
@@ -163,7 +167,7 @@
 async fn until_changed(host: &Host, held: Option<&Member>) {
     loop {
         // A change without a notification is found at the next check.
-        if tokio::time::timeout(CHECK_PERIOD, host.changed.notified())
+        if tokio::time::timeout(CHECK_PERIOD, host.own_record_changed.notified())
             .await
             .is_ok()
         {
@@ -172,7 +176,7 @@
         if later_record(host, held).is_some() {
             return;
         }
-        let is_overdue = host.local.lock().fell_silent(Instant::now());
+        let is_overdue = host.local.lock().check_missed_heartbeats(Instant::now());
         if is_overdue {
             note!(host.journal, Event::TargetChanged, reason = "silent");
             host.set_gate();
--- a/src/coordination/probe.rs
+++ b/src/coordination/probe.rs
@@ -10,7 +10,7 @@
         Error,
         decision::reach::Failure,
         host::Host,
-        link::{Ask, Question},
+        interface::{CallPeer, PeerRequest},
     },
     event::Event,
     journal::note,
@@ -23,40 +23,40 @@
 const MIN_ROUND: Duration = Duration::from_millis(50);
 
 /// Sends each probe when it is due; never returns.
-pub async fn keep(host: Arc<Host>, ask: Ask) {
+pub async fn run(host: Arc<Host>, call_peer: CallPeer) {
     loop {
         let next = host.balancer.lock().reachability.next_probe();
         match next {
             // The end of a probe that is under way wakes this task.
-            None => host.lost.notified().await,
+            None => host.node_unreachable.notified().await,
             Some(next) => tokio::select! {
                 () = tokio::time::sleep_until(next.into()) => {}
-                () = host.lost.notified() => {}
+                () = host.node_unreachable.notified() => {}
             },
         }
-        send_due(&host, &ask);
+        send_due(&host, &call_peer);
         tokio::time::sleep(MIN_ROUND).await;
     }
 }
 
-fn send_due(host: &Arc<Host>, ask: &Ask) {
+fn send_due(host: &Arc<Host>, call_peer: &CallPeer) {
     let due = {
         let members = host.members.read();
         let mut balancer = host.balancer.lock();
         balancer.reachability.due_probes(&members, Instant::now())
     };
     for member in due {
-        let (host, ask) = (host.clone(), ask.clone());
+        let (host, call_peer) = (host.clone(), call_peer.clone());
         tokio::spawn(async move {
-            probe(&host, &ask, &member).await;
-            host.lost.notify_one();
+            probe(&host, &call_peer, &member).await;
+            host.node_unreachable.notify_one();
         });
     }
 }
 
 /// Asks one node for its state and records whether it answered.
-async fn probe(host: &Host, ask: &Ask, member: &Member) {
-    let answer = ask(member.peers, Question::Seen).await;
+async fn probe(host: &Host, call_peer: &CallPeer, member: &Member) {
+    let answer = call_peer(member.peers, PeerRequest::Progress).await;
     let now = Instant::now();
     let failure = match &answer {
         Ok(_) => {
@@ -76,8 +76,8 @@
             .record_failure(member, failure, now);
     }
     // An answer that can't be decoded has no versions, but shows that the node is reachable.
-    let seen = answer.ok();
-    if let Some(seen) = seen.and_then(|seen| rmp_serde::from_slice::<Seen>(&seen).ok()) {
-        host.hear_of(seen.version, seen.members, member.peers);
+    let answer = answer.ok();
+    if let Some(progress) = answer.and_then(|answer| rmp_serde::from_slice::<Seen>(&answer).ok()) {
+        host.note_newer(progress.version, progress.members, member.peers);
     }
 }
--- a/src/coordination/publish.rs
+++ b/src/coordination/publish.rs
@@ -7,7 +7,7 @@
 use crate::{
     coordination::{
         Error,
-        link::Log,
+        interface::Log,
         node::{LogFault, Node},
         snapshot,
     },
--- a/src/coordination/review.rs
+++ b/src/coordination/review.rs
@@ -182,7 +182,7 @@
         note!(host.journal, Event::LetGo, content = content);
     }
     if review.has_new_evidence {
-        host.changed.notify_one();
+        host.own_record_changed.notify_one();
     }
 }
 
--- a/src/coordination/rollout/duty.rs
+++ b/src/coordination/rollout/duty.rs
@@ -18,7 +18,7 @@
         Error,
         decision::rollout::judge::{self, Input, TargetCounts},
         host::Host,
-        link::Store,
+        interface::Store,
         rollout::Tracked,
         source,
     },
@@ -53,7 +53,7 @@
 
 /// Carries out orders while this node reads the store; never returns.
 pub async fn keep(host: Arc<Host>, store: Store) {
-    host.until_settled().await;
+    host.until_membership_settled().await;
     let mut reading = host.reading();
     let mut due = DueStages::default();
     loop {
@@ -195,11 +195,11 @@
     state: State,
 ) -> Result<Stage, Error> {
     for _ in 0..MAX_ATTEMPTS {
-        let read = (store.said)(rollout.service.clone()).await;
+        let read = (store.read_status)(rollout.service.clone()).await;
         host.note_store("newest", &read, None);
         let latest = read?;
         let is_of_order = |word: &Word| word.to == rollout.to && word.order == Some(rollout.order);
-        if let Some(stored) = latest.word.filter(is_of_order)
+        if let Some(stored) = latest.status.filter(is_of_order)
             && (stored.state != State::Running || state == State::Running)
         {
             return Ok(stage_of(stored.state));
@@ -210,7 +210,7 @@
             order: Some(rollout.order),
             state,
         };
-        let put = (store.say)(status, latest.end).await;
+        let put = (store.write_status)(status, latest.end).await;
         host.note_store("put", &put, None);
         if put? {
             return Ok(stage_of(state));
--- a/src/coordination/rollout/here.rs
+++ b/src/coordination/rollout/here.rs
@@ -16,7 +16,7 @@
     for rollout in rollouts {
         // A node that has been running learns of an order when it is given. One that has
         // just started has only the wall clock, which may be wrong by seconds.
-        let age = match host.is_settled() {
+        let age = match host.is_membership_settled() {
             true => Duration::ZERO,
             false => elapsed_since(rollout.began).min(rollout.duration.duration()),
         };
@@ -57,7 +57,7 @@
     };
     local.judge(verdict);
     drop(local);
-    host.changed.notify_one();
+    host.own_record_changed.notify_one();
     note!(
         host.journal,
         Event::TargetJudged,
--- a/src/coordination/scatter.rs
+++ b/src/coordination/scatter.rs
@@ -11,7 +11,7 @@
 use futures_util::future::{BoxFuture, FutureExt, join_all};
 
 use crate::{
-    coordination::link::Call,
+    coordination::interface::Call,
     protocol::wire::{Census, Frame, Load, Reply, Scatter},
     unit::Span,
 };
--- a/src/coordination/snapshot.rs
+++ b/src/coordination/snapshot.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 
 use crate::{
-    coordination::{Error, catchup::jitter, link::Log, node::Node, rank},
+    coordination::{Error, catchup::jitter, interface::Log, node::Node, rank},
     event::Event,
     protocol::{
         log::{Assembly, Part, split},
--- a/src/coordination/source.rs
+++ b/src/coordination/source.rs
@@ -20,7 +20,7 @@
     coordination::{
         Error,
         host::Host,
-        link::{Ask, Question, Records, Store, Stream},
+        interface::{CallPeer, PeerRequest, Records, Store, Stream},
         rollout::here,
         spread, watch,
     },
@@ -97,21 +97,21 @@
 const ROUTES_BATCH_PAUSE: Duration = Duration::from_millis(30);
 
 /// Follows one stream of the store; never returns.
-pub async fn follow(host: Arc<Host>, store: Store, ask: Ask, stream: Stream) {
+pub async fn follow(host: Arc<Host>, store: Store, call_peer: CallPeer, stream: Stream) {
     match stream {
-        Stream::Routes => load_first_routes(&host, &store, &ask).await,
+        Stream::Routes => load_first_routes(&host, &store, &call_peer).await,
         Stream::Members => {
-            read_newest(&host, &store, &ask, stream).await;
-            settle_membership(&host, &store, &ask).await;
+            read_newest(&host, &store, &call_peer, stream).await;
+            settle_membership(&host, &store, &call_peer).await;
         }
     }
-    host.until_settled().await;
+    host.until_membership_settled().await;
     let mut reading = host.reading();
     loop {
         // Can't fail: `host` owns the sender.
         let _ = reading.wait_for(|reads| *reads).await;
         tokio::select! {
-            () = read_tail(&host, &store, &ask, stream) => {}
+            () = read_tail(&host, &store, &call_peer, stream) => {}
             _ = reading.wait_for(|reads| !*reads) => {}
         }
     }
@@ -121,25 +121,25 @@
 ///
 /// A peer sends it in half the bytes and without a call to the store. In a fleet that
 /// starts as a whole no peer has one.
-async fn load_first_routes(host: &Arc<Host>, store: &Store, ask: &Ask) {
+async fn load_first_routes(host: &Arc<Host>, store: &Store, call_peer: &CallPeer) {
     host.until_members_known().await;
-    let is_first_ranked = watch::before(host).len() < FIRST_RANKED;
+    let is_first_ranked = watch::predecessors(host).len() < FIRST_RANKED;
     let wait = if is_first_ranked {
         FIRST_RANKED_PEER_WAIT
     } else {
         PEER_WAIT
     };
     // If no peer has sent a version in time, the store is read below.
-    let _ = tokio::time::timeout(wait, request_routes(host, ask, is_first_ranked)).await;
+    let _ = tokio::time::timeout(wait, request_routes(host, call_peer, is_first_ranked)).await;
     if host.version() == 0 {
-        read_newest(host, store, ask, Stream::Routes).await;
+        read_newest(host, store, call_peer, Stream::Routes).await;
     }
 }
 
 /// Asks peers until one has sent a version. A first-ranked node asks one round only.
-async fn request_routes(host: &Arc<Host>, ask: &Ask, is_first_ranked: bool) {
+async fn request_routes(host: &Arc<Host>, call_peer: &CallPeer, is_first_ranked: bool) {
     loop {
-        sync_with_peers(host, ask).await;
+        sync_with_peers(host, call_peer).await;
         if is_first_ranked || host.version() > 0 {
             return;
         }
@@ -148,17 +148,17 @@
 }
 
 /// Waits until the nodes of a fleet that starts as a whole had time to write their records.
-async fn settle_membership(host: &Arc<Host>, store: &Store, ask: &Ask) {
+async fn settle_membership(host: &Arc<Host>, store: &Store, call_peer: &CallPeer) {
     let is_known = host.members.read().get(&host.settings.node).is_some();
     if !is_known {
         tokio::time::sleep(SETTLE_TIME).await;
-        read_newest(host, store, ask, Stream::Members).await;
+        read_newest(host, store, call_peer, Stream::Members).await;
     }
-    host.settle();
+    host.note_membership_settled();
 }
 
 /// Loads a stream as a whole from the store, or from peers while the store fails.
-async fn read_newest(host: &Arc<Host>, store: &Store, ask: &Ask, stream: Stream) {
+async fn read_newest(host: &Arc<Host>, store: &Store, call_peer: &CallPeer, stream: Stream) {
     let mut failures = 0;
     loop {
         let since = Instant::now();
@@ -169,14 +169,14 @@
                 note_store_up(host, stream, failures);
                 apply_orders(host, &records.orders);
                 apply_records(host, stream, records.records);
-                host.known_to(stream, records.next);
+                host.advance_offset(stream, records.next);
                 return;
             }
             Err(error) => {
                 note_store_down(host, stream, failures, &error);
-                let before = host.at(stream);
-                sync_with_peers(host, ask).await;
-                if host.at(stream) > before {
+                let before = host.offset(stream);
+                sync_with_peers(host, call_peer).await;
+                if host.offset(stream) > before {
                     return;
                 }
                 tokio::time::sleep(pause(failures)).await;
@@ -187,13 +187,13 @@
 }
 
 /// Keeps reading a stream and sends the records to the failure domain; never returns.
-async fn read_tail(host: &Arc<Host>, store: &Store, ask: &Ask, stream: Stream) {
+async fn read_tail(host: &Arc<Host>, store: &Store, call_peer: &CallPeer, stream: Stream) {
     let mut failures = 0;
     let mut is_behind = false;
     loop {
         // Without an offset, or when this node is behind, the stream is read as a whole, which
         // includes all that the earlier records say.
-        let from = host.at(stream).filter(|_| !is_behind);
+        let from = host.offset(stream).filter(|_| !is_behind);
         let read = match from {
             Some(from) => (store.tail)(stream, from, max_wait(stream)),
             None => (store.newest)(stream),
@@ -213,7 +213,7 @@
                 failures = 0;
                 is_behind = false;
                 host.set_store_unreadable(false);
-                apply_and_spread(host, ask, stream, from.unwrap_or(0), records);
+                apply_and_spread(host, call_peer, stream, from.unwrap_or(0), records);
                 tokio::time::sleep(batch_pause(stream)).await;
             }
             Err(Error::Expired(_)) => is_behind = true,
@@ -230,7 +230,7 @@
                         Stream::Members => host.until_store_answers(STORE_RETURN_WAIT).await,
                     }
                 };
-                tokio::join!(sync_with_peers(host, ask), delay);
+                tokio::join!(sync_with_peers(host, call_peer), delay);
                 failures += 1;
             }
         }
@@ -252,10 +252,16 @@
 }
 
 /// Applies records from the store and sends them to the failure domain.
-fn apply_and_spread(host: &Arc<Host>, ask: &Ask, stream: Stream, from: u64, records: Records) {
+fn apply_and_spread(
+    host: &Arc<Host>,
+    call_peer: &CallPeer,
+    stream: Stream,
+    from: u64,
+    records: Records,
+) {
     let rollouts = apply_orders(host, &records.orders);
     let load = apply_records(host, stream, records.records);
-    host.known_to(stream, records.next);
+    host.advance_offset(stream, records.next);
     // Orders without a new version are sent with an empty delta.
     let unchanged = || host.routes_since(host.version()).map(Load::Routes);
     let load = load.or_else(|| (!rollouts.is_empty()).then(unchanged)?);
@@ -268,17 +274,17 @@
         relay: Vec::new(),
         reader: host.settings.advertised().peers,
     };
-    tokio::spawn(spread::to_domain(host.clone(), ask.clone(), news));
+    tokio::spawn(spread::to_domain(host.clone(), call_peer.clone(), news));
 }
 
 /// Applies records that another node read, and relays them.
-pub fn take_news(host: &Arc<Host>, ask: &Ask, mut news: News) {
+pub fn apply_news(host: &Arc<Host>, call_peer: &CallPeer, mut news: News) {
     if !news.relay.is_empty() {
         let relayed = News {
             relay: std::mem::take(&mut news.relay),
             ..news.clone()
         };
-        tokio::spawn(spread::relay(ask.clone(), relayed));
+        tokio::spawn(spread::relay(call_peer.clone(), relayed));
     }
     here::take(host, news.rollouts, "reader");
     let stream = news.load.stream();
@@ -287,21 +293,21 @@
         Load::Members(records) => {
             apply_members(host, &records, "reader");
             // Each record is about one member, so the records before `from` must be known.
-            host.at(stream) >= Some(news.from)
+            host.offset(stream) >= Some(news.from)
         }
     };
     if is_whole {
-        host.known_to(stream, news.next);
+        host.advance_offset(stream, news.next);
     } else {
-        host.hear_of(u64::MAX, news.next, news.reader);
+        host.note_newer(u64::MAX, news.next, news.reader);
     }
 }
 
 /// Asks each peer that reports something newer for it; never returns.
-pub async fn follow_hints(host: Arc<Host>, ask: Ask) {
+pub async fn follow_hints(host: Arc<Host>, call_peer: CallPeer) {
     loop {
         let peer = host.next_hint().await;
-        sync_with_peer(&host, &ask, peer).await;
+        sync_with_peer(&host, &call_peer, peer).await;
     }
 }
 
@@ -346,8 +352,8 @@
 }
 
 /// Asks a few peers for their progress, and the most advanced ones for what they have.
-async fn sync_with_peers(host: &Arc<Host>, ask: &Ask) {
-    let first_ranked = watch::before(host);
+async fn sync_with_peers(host: &Arc<Host>, call_peer: &CallPeer) {
+    let first_ranked = watch::predecessors(host);
     let first_ranked = first_ranked.iter().rev().take(FIRST_RANKED);
     let peers = {
         let members = host.members.read();
@@ -366,22 +372,22 @@
     };
     let asked = peers
         .into_iter()
-        .map(|peer| fetch_progress(host, ask, peer));
+        .map(|peer| fetch_progress(host, call_peer, peer));
     let seen: Vec<_> = join_all(asked).await.into_iter().flatten().collect();
     let newest = |of: fn(&Seen) -> u64| seen.iter().rev().max_by_key(|(_, seen)| of(seen));
     if let Some((peer, seen)) = newest(|seen| seen.version) {
-        fetch_routes(host, ask, *peer, seen).await;
+        fetch_routes(host, call_peer, *peer, seen).await;
     }
     if let Some((peer, seen)) = newest(|seen| seen.members) {
-        fetch_members(host, ask, *peer, seen).await;
+        fetch_members(host, call_peer, *peer, seen).await;
     }
 }
 
 /// Fetches from a peer what is newer than the state of this node.
-async fn sync_with_peer(host: &Arc<Host>, ask: &Ask, peer: SocketAddr) {
-    if let Some((_, seen)) = fetch_progress(host, ask, peer).await {
-        fetch_routes(host, ask, peer, &seen).await;
-        fetch_members(host, ask, peer, &seen).await;
+async fn sync_with_peer(host: &Arc<Host>, call_peer: &CallPeer, peer: SocketAddr) {
+    if let Some((_, seen)) = fetch_progress(host, call_peer, peer).await {
+        fetch_routes(host, call_peer, peer, &seen).await;
+        fetch_members(host, call_peer, peer, &seen).await;
     }
 }
 
@@ -389,30 +395,34 @@
 ///
 /// A peer that does not answer does no harm: another peer that reports something newer is
 /// asked, or the next round asks others.
-async fn fetch_progress(host: &Host, ask: &Ask, peer: SocketAddr) -> Option<(SocketAddr, Seen)> {
-    let answer = ask(peer, Question::Seen).await.ok()?;
+async fn fetch_progress(
+    host: &Host,
+    call_peer: &CallPeer,
+    peer: SocketAddr,
+) -> Option<(SocketAddr, Seen)> {
+    let answer = call_peer(peer, PeerRequest::Progress).await.ok()?;
     Some((peer, decode(host, &answer, "news", "peer")?))
 }
 
-async fn fetch_routes(host: &Host, ask: &Ask, peer: SocketAddr, seen: &Seen) {
+async fn fetch_routes(host: &Host, call_peer: &CallPeer, peer: SocketAddr, seen: &Seen) {
     if seen.version > host.version()
-        && let Ok(answer) = ask(peer, Question::Routes(host.version())).await
+        && let Ok(answer) = call_peer(peer, PeerRequest::Routes(host.version())).await
     {
         apply_routes_answer(host, &answer);
         // The peer reported this offset before it sent its version, so the version includes
         // every record up to the offset.
         if host.version() >= seen.version && seen.routes > 0 {
-            host.known_to(Stream::Routes, seen.routes);
+            host.advance_offset(Stream::Routes, seen.routes);
         }
     }
 }
 
-async fn fetch_members(host: &Host, ask: &Ask, peer: SocketAddr, seen: &Seen) {
-    if Some(seen.members) <= host.at(Stream::Members) {
+async fn fetch_members(host: &Host, call_peer: &CallPeer, peer: SocketAddr, seen: &Seen) {
+    if Some(seen.members) <= host.offset(Stream::Members) {
         return;
     }
     let marks = host.members.read().marks().to_vec();
-    if let Ok(answer) = ask(peer, Question::Members(marks)).await {
+    if let Ok(answer) = call_peer(peer, PeerRequest::Members(marks)).await {
         apply_members_answer(host, &answer);
     }
 }
@@ -428,8 +438,8 @@
         return;
     };
     here::take(host, answer.rollouts, "peer");
-    host.take_members(answer.members, "peer");
-    host.known_to(Stream::Members, answer.at);
+    host.merge_members(answer.members, "peer");
+    host.advance_offset(Stream::Members, answer.at);
 }
 
 /// Decodes a record or a message of another node, which is MessagePack. Counts and logs
@@ -474,7 +484,7 @@
 /// Applies roll-out orders; returns the roll-outs of those that could be decoded.
 fn apply_orders(host: &Host, orders: &[(u64, Bytes)]) -> Vec<Rollout> {
     let decoded = orders.iter().filter_map(|(offset, record)| {
-        let order = (host.words.order)(record);
+        let order = (host.decoders.order)(record);
         if let Err(error) = &order {
             host.count_unusable("order");
             let why = crate::logging::chain(error);
@@ -532,7 +542,7 @@
         }
     }
     here::take(host, rollouts, from);
-    host.take_members(members, from);
+    host.merge_members(members, from);
 }
 
 /// Returns the delta from version `base` to the version in force, as MessagePack, or
@@ -549,7 +559,7 @@
 /// some other node. With all members in every answer, 295 nodes sent 0.399 GB between
 /// failure domains during a recovery; with only the differing ones, 0.226 GB.
 pub fn members(host: &Host, marks: &[u32]) -> Bytes {
-    let at = host.at(Stream::Members).unwrap_or(0);
+    let at = host.offset(Stream::Members).unwrap_or(0);
     let members = host.members.read();
     let differing = members.differing(marks);
     let answer = Members {
--- a/src/coordination/spread.rs
+++ b/src/coordination/spread.rs
@@ -14,7 +14,7 @@
 use crate::{
     coordination::{
         host::Host,
-        link::{Ask, Question},
+        interface::{CallPeer, PeerRequest},
         scatter,
     },
     event::Event,
@@ -27,7 +27,7 @@
 const FANOUT: usize = 3;
 
 /// Sends `news` to the other nodes of this failure domain.
-pub async fn to_domain(host: Arc<Host>, ask: Ask, mut news: News) {
+pub async fn to_domain(host: Arc<Host>, call_peer: CallPeer, mut news: News) {
     news.relay = {
         let members = host.members.read();
         let settings = &host.settings;
@@ -37,7 +37,7 @@
         others.map(|member| member.peers).collect()
     };
     let nodes = news.relay.len();
-    let missed = relay(ask, news.clone()).await;
+    let missed = relay(call_peer, news.clone()).await;
     note!(
         host.journal,
         Event::Spread,
@@ -51,12 +51,12 @@
 
 /// Sends `news` to the nodes in its `relay` list, each child passing it on to its part.
 /// Returns how many nodes did not answer when they were asked to be a child.
-pub fn relay(ask: Ask, news: News) -> BoxFuture<'static, usize> {
+pub fn relay(call_peer: CallPeer, news: News) -> BoxFuture<'static, usize> {
     async move {
         let parts = scatter::split(&news.relay, FANOUT);
         let branches = parts
             .into_iter()
-            .map(|part| send_branch(ask.clone(), news.clone(), part));
+            .map(|part| send_branch(call_peer.clone(), news.clone(), part));
         join_all(branches).await.into_iter().sum()
     }
     .boxed()
@@ -64,7 +64,7 @@
 
 /// Sends `news` to the first node of `part` that answers, for it to pass on to the nodes after
 /// it. Returns how many nodes did not answer.
-async fn send_branch(ask: Ask, news: News, mut part: Vec<SocketAddr>) -> usize {
+async fn send_branch(call_peer: CallPeer, news: News, mut part: Vec<SocketAddr>) -> usize {
     let mut missed = 0;
     while !part.is_empty() {
         let child = part.remove(0);
@@ -72,7 +72,7 @@
             relay: part.clone(),
             ..news.clone()
         };
-        if ask(child, Question::Take(news)).await.is_ok() {
+        if call_peer(child, PeerRequest::Deliver(news)).await.is_ok() {
             return missed;
         }
         missed += 1;
--- a/src/coordination/watch.rs
+++ b/src/coordination/watch.rs
@@ -20,7 +20,7 @@
 use crate::{
     coordination::{
         host::Host,
-        link::{Ask, Question},
+        interface::{CallPeer, PeerRequest},
         rank,
     },
     event::Event,
@@ -51,28 +51,30 @@
 
 /// Checks the predecessors of this node in the ranking periodically, and makes this node read
 /// the store when they can't; never returns.
-pub async fn keep(host: Arc<Host>, ask: Ask) {
-    host.until_settled().await;
+pub async fn run(host: Arc<Host>, call_peer: CallPeer) {
+    host.until_membership_settled().await;
     loop {
-        check(&host, &ask).await;
+        check(&host, &call_peer).await;
         tokio::time::sleep(CHECK_PAUSE.mul_f64(0.9 + 0.2 * fastrand::f64())).await;
     }
 }
 
 /// Finds the nearest predecessor that answers, and sets whether this node reads the store.
-async fn check(host: &Host, ask: &Ask) {
+async fn check(host: &Host, call_peer: &CallPeer) {
     let mut batch_size = 1;
     loop {
-        let mut predecessors = before(host);
+        let mut predecessors = predecessors(host);
         if predecessors.is_empty() {
             host.set_reading(true, 0);
             if let Some(other) = other_domain_member(host) {
-                compare(host, ask, &other).await;
+                compare(host, call_peer, &other).await;
             }
             return;
         }
         predecessors.truncate(batch_size);
-        let answers = predecessors.iter().map(|member| compare(host, ask, member));
+        let answers = predecessors
+            .iter()
+            .map(|member| compare(host, call_peer, member));
         let nearest = join_all(answers).await.into_iter().flatten().next();
         if let Some(seen) = nearest {
             // If the predecessor is a reader that can't read the store, this node reads, too.
@@ -87,18 +89,18 @@
 
 /// Asks a member for its versions and offsets, and compares them with this node's. A member
 /// that doesn't answer is left out of the ranking for a while.
-async fn compare(host: &Host, ask: &Ask, member: &Member) -> Option<Seen> {
-    let answer = ask(member.peers, Question::Seen).await;
+async fn compare(host: &Host, call_peer: &CallPeer, member: &Member) -> Option<Seen> {
+    let answer = call_peer(member.peers, PeerRequest::Progress).await;
     let seen = answer
         .ok()
         .and_then(|answer| rmp_serde::from_slice::<Seen>(&answer).ok());
     match seen {
         Some(seen) => {
-            host.hear_of(seen.version, seen.members, member.peers);
+            host.note_newer(seen.version, seen.members, member.peers);
             Some(seen)
         }
         None => {
-            host.note_silent(&member.node, Instant::now() + SKIP_TIME);
+            host.note_unreachable(&member.node, Instant::now() + SKIP_TIME);
             note!(
                 host.journal,
                 Event::MemberChanged,
@@ -112,14 +114,14 @@
 
 /// Returns the nodes before this one in the ranking of its failure domain, the nearest
 /// first.
-pub fn before(host: &Host) -> Vec<Arc<Member>> {
+pub fn predecessors(host: &Host) -> Vec<Arc<Member>> {
     let settings = &host.settings;
     let members = host.members.read();
     let now = Instant::now();
     let is_ranked = |member: &Member| {
         member.domain == settings.domain
             && member.is_present()
-            && !host.is_silent(&member.node, now)
+            && !host.is_unreachable(&member.node, now)
     };
     let ranked = members.iter().filter(|member| is_ranked(member));
     rank::before(ranked, JOB, &settings.node, settings.bandwidth())
@@ -133,7 +135,7 @@
     let others = members.iter().filter(|member| {
         member.domain != settings.domain
             && member.is_present()
-            && !host.is_silent(&member.node, now)
+            && !host.is_unreachable(&member.node, now)
     });
     fastrand::choose_multiple(others, 1)
         .into_iter()
@@ -143,4 +145,4 @@
 
 /// The nodes that did not answer, each with the time until which it is left out of the
 /// ranking.
-pub type Silent = std::collections::HashMap<Node, Instant>;
+pub type Skipped = std::collections::HashMap<Node, Instant>;
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -15,7 +15,7 @@
         apply,
         follow::{self, Follow},
         gossip::{self, Gossip},
-        link::{Call, Log},
+        interface::{Call, Log},
         node::Node,
         snapshot,
     },
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -19,8 +19,8 @@
 use crate::{
     coordination::{
         host,
-        link::{Ask, Store, Stream, Words},
-        presence::{self, Written},
+        interface::{CallPeer, Decoders, Store, Stream},
+        presence::{self, Recorded},
         probe, review, rollout, source, watch as reader,
     },
     event::{Event, Journal},
@@ -85,11 +85,11 @@
     /// # Errors
     ///
     /// If an address can't be listened on, or a thread can't be created.
-    pub fn start(settings: Settings, store: Store, words: Words) -> Result<Self, Error> {
+    pub fn start(settings: Settings, store: Store, decoders: Decoders) -> Result<Self, Error> {
         let journal = Journal::start_json(settings.node.as_str(), Box::new(std::io::stdout()));
-        let host = Arc::new(host::Host::new(settings, words, journal));
+        let host = Arc::new(host::Host::new(settings, decoders, journal));
         let (phase, phase_receiver) = watch::channel(Phase::Serving);
-        let (written, written_receiver) = watch::channel(Written::default());
+        let (recorded, recorded_receiver) = watch::channel(Recorded::default());
         let ingress = Ingress::new(host.clone());
         let egress = Egress::new(host.clone(), ingress.clone());
         let call_peer = control::ask();
@@ -107,7 +107,7 @@
             (
                 listen.targets,
                 Whose::Others,
-                control::targets(host.clone(), written_receiver),
+                control::targets(host.clone(), recorded_receiver),
             ),
             (
                 listen.ready,
@@ -139,7 +139,7 @@
             )?,
             control_thread: spawn_thread(
                 "control",
-                run_control(host.clone(), store, call_peer, written, control_listeners),
+                run_control(host.clone(), store, call_peer, recorded, control_listeners),
             )?,
             host,
         })
@@ -257,8 +257,8 @@
 async fn run_control(
     host: Arc<host::Host>,
     store: Store,
-    call_peer: Ask,
-    written: watch::Sender<Written>,
+    call_peer: CallPeer,
+    recorded: watch::Sender<Recorded>,
     listeners: Listeners,
 ) {
     for stream in [Stream::Routes, Stream::Members] {
@@ -266,11 +266,11 @@
         tokio::spawn(follower);
     }
     tokio::spawn(source::follow_hints(host.clone(), call_peer.clone()));
-    tokio::spawn(reader::keep(host.clone(), call_peer.clone()));
+    tokio::spawn(reader::run(host.clone(), call_peer.clone()));
     tokio::spawn(review::keep(host.clone()));
     tokio::spawn(rollout::duty::keep(host.clone(), store.clone()));
-    tokio::spawn(probe::keep(host.clone(), call_peer));
-    tokio::spawn(presence::keep_written(host, store, written));
+    tokio::spawn(probe::run(host.clone(), call_peer));
+    tokio::spawn(presence::maintain_record(host, store, recorded));
     serve_all(listeners).await;
 }
 
--- a/src/transport/log.rs
+++ b/src/transport/log.rs
@@ -9,7 +9,7 @@
 use crate::{
     coordination::{
         Error,
-        link::{Append, Log, Read},
+        interface::{Append, Log, Read},
     },
     id::Name,
     protocol::{
--- a/src/transport/operators.rs
+++ b/src/transport/operators.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     coordination::{
-        link::{Call, Log},
+        interface::{Call, Log},
         node::Node,
         publish, scatter,
     },
--- a/src/transport/peers.rs
+++ b/src/transport/peers.rs
@@ -7,7 +7,7 @@
 use salvo::{Depot, FlowCtrl, Handler, Request, Response, Router, http::ResBody};
 
 use crate::{
-    coordination::{Error, catchup, follow, gossip, link::Call, node::Node},
+    coordination::{Error, catchup, follow, gossip, interface::Call, node::Node},
     metrics::{Metrics, RECEIVED, SENT},
     protocol::wire::{self, Frame, Reply},
     state::member::Member,
--- a/src/transport/relay/control.rs
+++ b/src/transport/relay/control.rs
@@ -19,9 +19,9 @@
     coordination::{
         Error,
         host::Host,
-        link::{Ask, Question},
+        interface::{CallPeer, PeerRequest},
         local::Change,
-        presence::Written,
+        presence::Recorded,
         rollout::duty,
         source,
     },
@@ -84,7 +84,7 @@
 const LET_GO: &str = "/let-go";
 
 /// Returns a function that sends requests to peers.
-pub fn ask() -> Ask {
+pub fn ask() -> CallPeer {
     let pool = Arc::new(Pool::new(POOL_SETTINGS));
     Arc::new(move |address, request| {
         let pool = pool.clone();
@@ -92,12 +92,12 @@
     })
 }
 
-async fn call_peer(pool: &Pool, address: SocketAddr, request: Question) -> Result<Bytes, Error> {
+async fn call_peer(pool: &Pool, address: SocketAddr, request: PeerRequest) -> Result<Bytes, Error> {
     let (path, body) = match request {
-        Question::Routes(base) => (ROUTES, encode(&base)),
-        Question::Members(marks) => (MEMBERS, encode(&marks)),
-        Question::Seen => (SEEN, Bytes::new()),
-        Question::Take(news) => (NEWS, encode(&news)),
+        PeerRequest::Routes(base) => (ROUTES, encode(&base)),
+        PeerRequest::Members(marks) => (MEMBERS, encode(&marks)),
+        PeerRequest::Progress => (SEEN, Bytes::new()),
+        PeerRequest::Deliver(news) => (NEWS, encode(&news)),
     };
     let peer = || address.to_string();
     let mut request = Request::new(Body::whole(body));
@@ -137,14 +137,14 @@
 }
 
 /// Returns the handler of requests from peers and operators.
-pub fn peers(host: Arc<Host>, ask: Ask) -> Handler {
+pub fn peers(host: Arc<Host>, ask: CallPeer) -> Handler {
     Arc::new(move |request: Request<Body>| {
         let (host, ask) = (host.clone(), ask.clone());
         async move {
             match request.uri().path() {
                 ROUTES => routes(&host, request.into_body()).await,
                 MEMBERS => members(&host, request.into_body()).await,
-                SEEN => Response::new(Body::whole(encode(&host.seen()))),
+                SEEN => Response::new(Body::whole(encode(&host.progress()))),
                 NEWS => news(&host, &ask, request.into_body()).await,
                 ROLLOUTS => json(&duty::progress(&host)),
                 HELD => json(&host.reviews.held(Instant::now())),
@@ -180,14 +180,14 @@
     Response::new(Body::whole(source::members(host, &marks)))
 }
 
-async fn news(host: &Arc<Host>, ask: &Ask, body: Body) -> Response<Body> {
+async fn news(host: &Arc<Host>, ask: &CallPeer, body: Body) -> Response<Body> {
     let read = body::read(body, MAX_PEER_MESSAGE, PEER_TIMEOUT).await;
     let Ok(Read::Whole(bytes)) = read else {
         return plain(StatusCode::BAD_REQUEST);
     };
     match source::decode(host, &bytes, "news", "reader") {
         Some(news) => {
-            source::take_news(host, ask, news);
+            source::apply_news(host, ask, news);
             plain(StatusCode::OK)
         }
         None => plain(StatusCode::BAD_REQUEST),
@@ -234,7 +234,7 @@
 }
 
 /// Returns the handler of the target's heartbeats and leave calls.
-pub fn targets(host: Arc<Host>, written: watch::Receiver<Written>) -> Handler {
+pub fn targets(host: Arc<Host>, written: watch::Receiver<Recorded>) -> Handler {
     Arc::new(move |request| {
         let (host, written) = (host.clone(), written.clone());
         async move { target_call(host, written, request).await }.boxed()
@@ -243,7 +243,7 @@
 
 async fn target_call(
     host: Arc<Host>,
-    mut written: watch::Receiver<Written>,
+    mut written: watch::Receiver<Recorded>,
     request: Request<Body>,
 ) -> Response<Body> {
     let (head, incoming) = request.into_parts();
@@ -255,7 +255,7 @@
     if head.method != Method::POST {
         return plain(StatusCode::METHOD_NOT_ALLOWED);
     }
-    let message = (host.words.announcement)(&head.method, head.uri.path(), &body);
+    let message = (host.decoders.target_call)(&head.method, head.uri.path(), &body);
     let message = match message.map_err(|error| crate::logging::chain(&error)) {
         Ok(Message::Heartbeat(heartbeat)) if heartbeat.service != *host.service() => {
             let why = format!("its service is {}", heartbeat.service);
@@ -265,18 +265,18 @@
         Err(why) => return reject_call(&host, &why),
     };
     let change = apply(&host, &message);
-    if change == Change::Told {
+    if change == Change::Publish {
         note!(
             host.journal,
             Event::TargetChanged,
             said = format_args!("{message:?}")
         );
-        host.changed.notify_one();
+        host.own_record_changed.notify_one();
     }
     host.set_gate();
     let (is_leaving, is_recalled) = {
         let local = host.local.lock();
-        (local.is_leaving(), local.is_recalled())
+        (local.is_leaving(), local.is_restored())
     };
     let is_leave = is_leaving || matches!(message, Message::Leave(_));
     if is_leave && !is_recalled {
@@ -289,7 +289,7 @@
         // repeats the call.
         return plain(StatusCode::SERVICE_UNAVAILABLE);
     }
-    json_response(host.words.acknowledgement.clone())
+    json_response(host.decoders.acknowledgement.clone())
 }
 
 /// Rejects an invalid call, or one of a target of another service, without a change of state.
@@ -307,14 +307,14 @@
 fn apply(host: &Host, message: &Message) -> Change {
     let mut local = host.local.lock();
     match message {
-        Message::Heartbeat(heartbeat) => local.hear(heartbeat, Instant::now()),
+        Message::Heartbeat(heartbeat) => local.apply_heartbeat(heartbeat, Instant::now()),
         Message::Leave(instance) => local.leave(instance),
     }
 }
 
 /// Waits until the latest state of the target is in the store; returns whether it is.
-async fn is_written(host: &Host, written: &mut watch::Receiver<Written>) -> bool {
-    let announced = host.local.lock().told();
+async fn is_written(host: &Host, written: &mut watch::Receiver<Recorded>) -> bool {
+    let announced = host.local.lock().announced();
     let matching = written.wait_for(|written| written.targets.as_ref() == Some(&announced));
     tokio::time::timeout(WRITE_TIMEOUT, matching)
         .await
--- a/src/transport/relay/egress.rs
+++ b/src/transport/relay/egress.rs
@@ -20,7 +20,7 @@
             quarantine::HELD_BACK,
         },
         host::Host,
-        link::Stream,
+        interface::Stream,
         rollout::{Answer, Lane},
     },
     event::Event,
@@ -136,7 +136,7 @@
     pub fn tidy(&self) {
         self.peers.tidy();
         if let Some(table) = self.host.routes() {
-            let mut ages = self.host.ages.lock();
+            let mut ages = self.host.request_ages.lock();
             ages.retain(|route| table.has_route(route));
             self.host.rollouts.retain(|route| table.has_route(route));
         }
@@ -161,7 +161,9 @@
         let mut attempts = Attempts::default();
         let result = self.run_attempts(&call, body, &mut attempts).await;
         if let Ok(response) = &result {
-            self.host.until_room(response.body().length()).await;
+            self.host
+                .until_bandwidth_free(response.body().length())
+                .await;
         }
         self.finish(&call, version, &attempts, result)
     }
@@ -178,7 +180,8 @@
         let Some(route) = table.find(&host, head.uri.path()).cloned() else {
             let path = head.uri.path();
             let version = table.version;
-            let id = http::get(&head.headers, self.host.words.dialect.id.as_str()).unwrap_or("-");
+            let id =
+                http::get(&head.headers, self.host.decoders.dialect.id.as_str()).unwrap_or("-");
             note!(
                 self.host.journal,
                 Event::NoRoute,
@@ -189,11 +192,11 @@
             );
             return Err(Refusal::rejected(404, "no route matches"));
         };
-        let dialect = &self.host.words.dialect;
+        let dialect = &self.host.decoders.dialect;
         let remaining = http::parse(&head.headers, dialect.deadline.as_str());
         let age = remaining.map_or(Duration::ZERO, |remaining| {
             let remaining = Duration::from_millis(remaining);
-            self.host.ages.lock().note(&route.name, remaining)
+            self.host.request_ages.lock().note(&route.name, remaining)
         });
         let remaining = remaining.map_or(route.timeout, |remaining| {
             Span::from_millis(remaining).min(route.timeout)
@@ -407,7 +410,7 @@
             draining = count.draining,
             passed_over = count.excluded,
             tried = attempts.nodes.len(),
-            members_at = self.host.at(Stream::Members).unwrap_or(0),
+            members_at = self.host.offset(Stream::Members).unwrap_or(0),
         );
     }
 
@@ -619,7 +622,7 @@
 
     /// Returns the id that the caller gave the request, or `-`.
     fn request_id<'a>(&self, call: &'a Call) -> &'a str {
-        http::get(&call.head.headers, self.host.words.dialect.id.as_str()).unwrap_or("-")
+        http::get(&call.head.headers, self.host.decoders.dialect.id.as_str()).unwrap_or("-")
     }
 }
 
--- a/src/transport/relay/ingress.rs
+++ b/src/transport/relay/ingress.rs
@@ -201,7 +201,7 @@
             // The target's release is not ordered, was rolled back, or fails as a canary.
             return Err(Refused::before_arrival(gate::no_target()));
         }
-        let id = head.headers.get(&self.host.words.dialect.id);
+        let id = head.headers.get(&self.host.decoders.dialect.id);
         let since = Instant::now();
         self.check_call_budget(delivery)
             .map_err(Refused::before_arrival)?;
@@ -259,7 +259,7 @@
         if exchange.response.status() == StatusCode::MISDIRECTED_REQUEST {
             self.mark_unreachable(&permit, "another instance answers");
         }
-        let id = run.head.headers.get(&self.host.words.dialect.id);
+        let id = run.head.headers.get(&self.host.decoders.dialect.id);
         self.check_response(id, &exchange.response)?;
         self.relay_response(delivery, permit, run, exchange).await
     }
@@ -322,7 +322,7 @@
         // The answer to a late request may take as long as its run. With more, links of
         // 10 Mbit/s fill with answers that no caller waits for any more.
         let run_time = delivery.arrival.usual_run_time.unwrap_or_default();
-        let outflow = &self.host.outflow;
+        let outflow = &self.host.response_flow;
         let reservation = outflow.reserve(delivery.answer_size, slack.max(run_time));
         let refusal = |wait| Refusal::not_run(LINK_BUSY, Span::of(wait));
         reservation
@@ -386,7 +386,7 @@
         head: &request::Parts,
         body: Body,
     ) -> Request<Body> {
-        let dialect = &self.host.words.dialect;
+        let dialect = &self.host.decoders.dialect;
         let mut request = Request::new(body);
         *request.method_mut() = head.method.clone();
         *request.uri_mut() = origin_form(&head.uri);
@@ -436,7 +436,7 @@
         if !self.pool.is_closed(target.address, run.deadline).await {
             return TARGET_BROKE_OFF;
         }
-        let dialect = &self.host.words.dialect;
+        let dialect = &self.host.decoders.dialect;
         self.host.reviews.note_end(&target.instance, run.content);
         note!(
             self.host.journal,
@@ -453,7 +453,7 @@
     /// Marks the target as unreachable and closes the gate until its next heartbeat.
     fn mark_unreachable(&self, permit: &Permit, reason: impl std::fmt::Display) {
         let instance = &permit.target.instance;
-        if self.host.local.lock().doubt(instance) {
+        if self.host.local.lock().mark_unreachable(instance) {
             self.host.set_gate();
             note!(
                 self.host.journal,
@@ -471,7 +471,7 @@
         id: Option<&HeaderValue>,
         response: &Response<Body>,
     ) -> Result<(), Refused> {
-        let dialect = &self.host.words.dialect;
+        let dialect = &self.host.decoders.dialect;
         let headers = response.headers();
         let echoed = headers.get(&dialect.id);
         let is_not_run =
@@ -553,7 +553,9 @@
         };
         let (mut response, report) = match result {
             Ok(response) => {
-                self.host.until_room(response.body().length()).await;
+                self.host
+                    .until_bandwidth_free(response.body().length())
+                    .await;
                 let run_time = response
                     .extensions()
                     .get()
@@ -576,7 +578,7 @@
     /// Returns the report for the header of a response to a peer, including the refusal if
     /// there is one.
     fn report(&self, refused: Option<Refused>) -> Told {
-        let progress = self.host.seen();
+        let progress = self.host.progress();
         let gate = &self.host.gate;
         let answered = Told {
             outcome: Outcome::Answered,
@@ -670,7 +672,8 @@
             note!(
                 self.host.journal,
                 Event::BodyTaken,
-                id = http::get(&head.headers, self.host.words.dialect.id.as_str()).unwrap_or("-"),
+                id =
+                    http::get(&head.headers, self.host.decoders.dialect.id.as_str()).unwrap_or("-"),
                 service = delivery.service,
                 bytes = length.unwrap_or_default(),
                 waited = waited.as_millis(),
--- a/src/transport/relay/next.rs
+++ b/src/transport/relay/next.rs
@@ -121,7 +121,7 @@
                 is_large,
             };
             self.host
-                .hear_of(report.version, report.members, member.peers);
+                .note_newer(report.version, report.members, member.peers);
             ingress::peer_refusal(response.status(), report)
         });
         let (head, incoming) = response.into_parts();
--- a/src/transport/relay/outstanding.rs
+++ b/src/transport/relay/outstanding.rs
@@ -130,7 +130,7 @@
         let mut balancer = self.host.balancer.lock();
         let is_ejected = balancer.finish(self.member, self.route, self.result, self.report, now);
         if is_ejected {
-            self.host.lost.notify_one();
+            self.host.node_unreachable.notify_one();
             note!(
                 self.host.journal,
                 Event::Ejected,
--- a/src/transport/targets.rs
+++ b/src/transport/targets.rs
@@ -6,7 +6,7 @@
 use salvo::{Depot, FlowCtrl, Handler, Request, Response, Router, http::ResBody};
 
 use crate::{
-    coordination::{gossip, link::Call, node::Node},
+    coordination::{gossip, interface::Call, node::Node},
     id::{Instance, Name},
     protocol::announce::{Announcement, Lease, PATH},
     state::member::Target,
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -9,7 +9,7 @@
 };
 
 use rilltrack::{
-    coordination::link::Words,
+    coordination::interface::Decoders,
     document::Document,
     host::{self, Process, Settings},
     id::Instance,
@@ -89,10 +89,10 @@
         });
         let document = Document::parse("host", &settings.to_string()).unwrap();
         let settings = Settings::from_document(&document).unwrap();
-        let words = Words {
+        let decoders = Decoders {
             routes: Arc::new(config::decode),
             order: Arc::new(rollout::decode),
-            announcement: Arc::new(heartbeat::decode),
+            target_call: Arc::new(heartbeat::decode),
             acknowledgement: heartbeat::ACKNOWLEDGEMENT.into(),
             dialect: request::dialect(),
         };
@@ -100,7 +100,7 @@
         // listeners for questions and metrics close once their thread sees that it ended.
         let process = loop {
             let store = store::store(self.store.address);
-            match Process::start(settings.clone(), store, words.clone()) {
+            match Process::start(settings.clone(), store, decoders.clone()) {
                 Ok(process) => break process,
                 Err(host::Error::Transport(transport::Error::Listen { source, .. }))
                     if source.kind() == std::io::ErrorKind::AddrInUse =>
@@ -140,7 +140,7 @@
 
     /// Returns whether it is to read the store and can't.
     pub fn is_blind(&self) -> bool {
-        self.process.as_ref().unwrap().host.seen().blind > 0
+        self.process.as_ref().unwrap().host.progress().blind > 0
     }
 
     /// Returns the part of what its target runs now that another target has seen before.
--- a/tests/coordination.rs
+++ b/tests/coordination.rs
@@ -21,7 +21,7 @@
         follow::Follow,
         gossip,
         health::{End, Health},
-        link::{Call, Log},
+        interface::{Call, Log},
         node::Node,
         once::{Answer, Begin, Ledger, Limits, Record},
         pick::{Candidate, Reason, pick},
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -28,7 +28,7 @@
         flow::Flow,
         gate::{self, Arrival, Gate},
         host::Host,
-        link::{Ask, Question, Records, Store, Stream, Words},
+        interface::{CallPeer, Decoders, PeerRequest, Records, Store, Stream},
         local::{Change, Local},
         presence, rank, source,
     },
@@ -172,15 +172,19 @@
             "resend": {{"ratio": 0.2, "slack": 62, "window": "10s"}}, "descriptors": 1024}}"#
     );
     let document = Document::parse("host", &settings).unwrap();
-    let words = Words {
+    let decoders = Decoders {
         routes: Arc::new(|_| unreachable!("the test decodes no version")),
         order: Arc::new(|_| unreachable!("the test decodes no order")),
-        announcement: Arc::new(|_, _, _| unreachable!("no target calls in this test")),
+        target_call: Arc::new(|_, _, _| unreachable!("no target calls in this test")),
         acknowledgement: Default::default(),
         dialect: Dialect::default(),
     };
     let journal = Journal::start_json("me", Box::new(std::io::sink()));
-    Host::new(Settings::from_document(&document).unwrap(), words, journal)
+    Host::new(
+        Settings::from_document(&document).unwrap(),
+        decoders,
+        journal,
+    )
 }
 
 /// A store that accepts every write, and the members written to it.
@@ -195,8 +199,8 @@
             sender.send(member).unwrap();
             async { Ok(()) }.boxed()
         }),
-        said: Arc::new(|_| std::future::pending().boxed()),
-        say: Arc::new(|_, _| std::future::pending().boxed()),
+        read_status: Arc::new(|_| std::future::pending().boxed()),
+        write_status: Arc::new(|_, _| std::future::pending().boxed()),
     };
     (store, written)
 }
@@ -211,14 +215,14 @@
 async fn first_version(before: usize) -> (usize, u64) {
     let mut host = host("here");
     let decoded = |_: &[u8]| Ok(table(vec![route("r", "h", "/", &[("a", 1)])]).unwrap());
-    host.words.routes = Arc::new(decoded);
+    host.decoders.routes = Arc::new(decoded);
     let host = Arc::new(host);
     let member_with_wide_link = |i| Member {
         bandwidth: 1_000,
         ..member(&format!("n{i}"), "here", 10)
     };
-    host.take_members((0..before).map(member_with_wide_link).collect(), "store");
-    host.known_to(Stream::Members, 1);
+    host.merge_members((0..before).map(member_with_wide_link).collect(), "store");
+    host.advance_offset(Stream::Members, 1);
     let reads = Arc::new(AtomicUsize::new(0));
     let read_count = reads.clone();
     let store = Store {
@@ -237,9 +241,9 @@
         ..recording_store().0
     };
     let progress_requests = Arc::new(AtomicUsize::new(0));
-    let ask: Ask = Arc::new(move |_, request| {
+    let ask: CallPeer = Arc::new(move |_, request| {
         let version = match request {
-            Question::Seen
+            PeerRequest::Progress
                 if progress_requests.fetch_add(1, Ordering::SeqCst) >= REQUESTS_WITHOUT_VERSION =>
             {
                 3
@@ -247,7 +251,7 @@
             _ => 0,
         };
         let answer = match request {
-            Question::Routes(_) => {
+            PeerRequest::Routes(_) => {
                 let delta = table(vec![route("r", "h", "/", &[("a", 1)])])
                     .unwrap()
                     .since(None);
@@ -973,19 +977,19 @@
     late_heartbeat_does_not_undo_a_drain => {
         let mut local = Local::new(Span::from_millis(1500));
         let now = Instant::now();
-        local.recall(None, Instant::now());
-        assert_eq!(local.hear(&heartbeat("i1", 1, false), now), Change::Told);
+        local.restore(None, Instant::now());
+        assert_eq!(local.apply_heartbeat(&heartbeat("i1", 1, false), now), Change::Publish);
         assert!(local.open().is_some());
-        assert_eq!(local.hear(&heartbeat("i1", 3, true), now), Change::Told);
+        assert_eq!(local.apply_heartbeat(&heartbeat("i1", 3, true), now), Change::Publish);
         assert!(local.open().is_none());
-        assert_eq!(local.hear(&heartbeat("i1", 2, false), now), Change::Nothing);
-        assert_eq!(local.hear(&heartbeat("i1", 4, false), now), Change::Nothing);
+        assert_eq!(local.apply_heartbeat(&heartbeat("i1", 2, false), now), Change::Nothing);
+        assert_eq!(local.apply_heartbeat(&heartbeat("i1", 4, false), now), Change::Nothing);
         assert!(local.open().is_none());
         // A new instance of the target opens the gate again; late heartbeats of the old one
         // then change nothing.
-        assert_eq!(local.hear(&heartbeat("i2", 1, false), now), Change::Told);
+        assert_eq!(local.apply_heartbeat(&heartbeat("i2", 1, false), now), Change::Publish);
         assert!(local.open().is_some());
-        assert_eq!(local.hear(&heartbeat("i1", 5, false), now), Change::Nothing);
+        assert_eq!(local.apply_heartbeat(&heartbeat("i1", 5, false), now), Change::Nothing);
         assert_eq!(local.open().unwrap().instance, "i2".into());
     }
 
@@ -997,14 +1001,14 @@
         for heartbeat_first in [false, true] {
             let mut local = Local::new(Span::from_millis(1500));
             if heartbeat_first {
-                local.hear(&heartbeat("i1", 7, false), now);
+                local.apply_heartbeat(&heartbeat("i1", 7, false), now);
             }
             // The gate stays closed until the recorded state is restored.
             assert!(local.open().is_none());
-            local.recall(Some(&written), now);
-            local.hear(&heartbeat("i1", 8, false), now);
+            local.restore(Some(&written), now);
+            local.apply_heartbeat(&heartbeat("i1", 8, false), now);
             assert!(local.open().is_none());
-            local.hear(&heartbeat("i2", 1, false), now);
+            local.apply_heartbeat(&heartbeat("i2", 1, false), now);
             assert!(local.open().is_some());
         }
     }
@@ -1014,50 +1018,50 @@
         let mut written = member("n1", "here", 4);
         written.targets[0].instance = "i2".into();
         let mut local = Local::new(Span::from_millis(1500));
-        local.recall(Some(&written), now);
+        local.restore(Some(&written), now);
         // The node does not know i1, which crashed before i2 started.
-        local.hear(&heartbeat("i1", 9, false), now);
-        local.hear(&heartbeat("i2", 4, false), now);
+        local.apply_heartbeat(&heartbeat("i1", 9, false), now);
+        local.apply_heartbeat(&heartbeat("i2", 4, false), now);
         // Once i1 is marked unreachable, since i2 answers at its address or nothing does, i2 is
         // accepted again.
-        assert!(local.doubt(&"i1".into()));
-        assert_eq!(local.hear(&heartbeat("i2", 5, false), now), Change::Told);
+        assert!(local.mark_unreachable(&"i1".into()));
+        assert_eq!(local.apply_heartbeat(&heartbeat("i2", 5, false), now), Change::Publish);
         assert_eq!(local.open().unwrap().instance, "i2".into());
-        assert_eq!(local.hear(&heartbeat("i1", 10, false), now), Change::Nothing);
+        assert_eq!(local.apply_heartbeat(&heartbeat("i1", 10, false), now), Change::Nothing);
         // An instance that left stays gone, whichever others send heartbeats.
-        local.hear(&heartbeat("i2", 6, true), now);
-        local.hear(&heartbeat("i3", 1, false), now);
-        assert!(local.doubt(&"i3".into()));
-        assert_eq!(local.hear(&heartbeat("i2", 7, false), now), Change::Nothing);
+        local.apply_heartbeat(&heartbeat("i2", 6, true), now);
+        local.apply_heartbeat(&heartbeat("i3", 1, false), now);
+        assert!(local.mark_unreachable(&"i3".into()));
+        assert_eq!(local.apply_heartbeat(&heartbeat("i2", 7, false), now), Change::Nothing);
         assert!(local.open().is_none());
     }
 
     restarted_target_with_the_same_id_is_a_new_instance => {
         let now = Instant::now();
         let mut local = Local::new(Span::from_millis(1500));
-        local.recall(None, now);
-        local.hear(&heartbeat("i1@100", 9, false), now);
+        local.restore(None, now);
+        local.apply_heartbeat(&heartbeat("i1@100", 9, false), now);
         // The sequence numbers of the new instance start from the beginning.
-        assert_eq!(local.hear(&heartbeat("i1@200", 1, false), now), Change::Told);
+        assert_eq!(local.apply_heartbeat(&heartbeat("i1@200", 1, false), now), Change::Publish);
         assert_eq!(local.open().unwrap().instance, "i1@200".into());
         // Delayed heartbeats of the earlier instance change nothing, nor do its drain and its
         // leave call.
         for late in [heartbeat("i1@100", 10, false), heartbeat("i1@100", 11, true)] {
-            assert_eq!(local.hear(&late, now), Change::Nothing);
+            assert_eq!(local.apply_heartbeat(&late, now), Change::Nothing);
             assert_eq!(local.open().unwrap().instance, "i1@200".into());
         }
         assert_eq!(local.leave(&"i1@100".into()), Change::Nothing);
         assert_eq!(local.open().unwrap().instance, "i1@200".into());
         // A heartbeat without a start time comes from another sender.
         for other in ["i1", "i2"] {
-            assert_eq!(local.hear(&heartbeat(other, 50, true), now), Change::Nothing);
+            assert_eq!(local.apply_heartbeat(&heartbeat(other, 50, true), now), Change::Nothing);
             assert_eq!(local.open().unwrap().instance, "i1@200".into());
         }
         // The drain of the instance holds, and does not apply to a third instance.
-        assert_eq!(local.hear(&heartbeat("i1@200", 2, true), now), Change::Told);
-        assert_eq!(local.hear(&heartbeat("i1@200", 3, false), now), Change::Nothing);
+        assert_eq!(local.apply_heartbeat(&heartbeat("i1@200", 2, true), now), Change::Publish);
+        assert_eq!(local.apply_heartbeat(&heartbeat("i1@200", 3, false), now), Change::Nothing);
         assert!(local.open().is_none() && local.is_leaving());
-        assert_eq!(local.hear(&heartbeat("i1@300", 1, false), now), Change::Told);
+        assert_eq!(local.apply_heartbeat(&heartbeat("i1@300", 1, false), now), Change::Publish);
         assert_eq!(local.open().unwrap().instance, "i1@300".into());
     }
 
@@ -1069,13 +1073,13 @@
             written.targets[0].draining = draining;
             let mut local = Local::new(Span::from_millis(1500));
             if late_first {
-                local.hear(&heartbeat("i1@100", 9, !draining), now);
+                local.apply_heartbeat(&heartbeat("i1@100", 9, !draining), now);
             }
-            local.recall(Some(&written), now);
-            local.hear(&heartbeat("i1@100", 9, !draining), now);
+            local.restore(Some(&written), now);
+            local.apply_heartbeat(&heartbeat("i1@100", 9, !draining), now);
             assert_eq!(local.open().is_some(), !draining, "late first: {late_first}");
             assert_eq!(local.is_leaving(), draining);
-            local.hear(&heartbeat("i1@300", 1, false), now);
+            local.apply_heartbeat(&heartbeat("i1@300", 1, false), now);
             assert_eq!(local.open().unwrap().instance, "i1@300".into());
         }
     }
@@ -1083,15 +1087,15 @@
     target_whose_clock_was_set_back_is_not_excluded => {
         let now = Instant::now();
         let mut local = Local::new(Span::from_millis(1500));
-        local.recall(None, now);
-        local.hear(&heartbeat("i1@9000", 1, false), now);
+        local.restore(None, now);
+        local.apply_heartbeat(&heartbeat("i1@9000", 1, false), now);
         // The target crashed, and the host's clock was set back before the target restarted.
-        assert_eq!(local.hear(&heartbeat("i1@4000", 1, false), now), Change::Nothing);
-        assert!(local.fell_silent(now + Duration::from_secs(7)));
-        assert_eq!(local.hear(&heartbeat("i1@4000", 5, false), now), Change::Told);
+        assert_eq!(local.apply_heartbeat(&heartbeat("i1@4000", 1, false), now), Change::Nothing);
+        assert!(local.check_missed_heartbeats(now + Duration::from_secs(7)));
+        assert_eq!(local.apply_heartbeat(&heartbeat("i1@4000", 5, false), now), Change::Publish);
         assert_eq!(local.open().unwrap().instance, "i1@4000".into());
         // If it was a late heartbeat after all, the next one of the running instance replaces it.
-        assert_eq!(local.hear(&heartbeat("i1@9000", 2, false), now), Change::Told);
+        assert_eq!(local.apply_heartbeat(&heartbeat("i1@9000", 2, false), now), Change::Publish);
         assert_eq!(local.open().unwrap().instance, "i1@9000".into());
     }
 
@@ -1130,27 +1134,27 @@
         let mut written = member("n1", "here", 4);
         written.targets[0].instance = "i1".into();
         let mut local = Local::new(Span::from_millis(1500));
-        local.recall(Some(&written), now);
+        local.restore(Some(&written), now);
         assert_eq!(local.open().unwrap().instance, "i1".into());
-        assert!(!local.doubt(&"i0".into()), "another instance than the current one");
-        assert!(local.doubt(&"i1".into()));
-        assert!(!local.doubt(&"i1".into()), "already marked unreachable");
+        assert!(!local.mark_unreachable(&"i0".into()), "another instance than the current one");
+        assert!(local.mark_unreachable(&"i1".into()));
+        assert!(!local.mark_unreachable(&"i1".into()), "already marked unreachable");
         assert!(local.open().is_none());
-        local.hear(&heartbeat("i1", 3, false), now);
+        local.apply_heartbeat(&heartbeat("i1", 3, false), now);
         assert!(local.open().is_some());
         // Missed heartbeats close the gate as for any other instance.
-        local.hear(&heartbeat("i2", 1, false), now);
-        assert!(local.fell_silent(now + Duration::from_secs(7)));
+        local.apply_heartbeat(&heartbeat("i2", 1, false), now);
+        assert!(local.check_missed_heartbeats(now + Duration::from_secs(7)));
         assert!(local.open().is_none());
     }
 
     leave_without_a_drain_closes_the_gate => {
         let mut local = Local::new(Span::from_millis(1500));
-        local.recall(None, Instant::now());
-        local.hear(&heartbeat("i1", 1, false), Instant::now());
+        local.restore(None, Instant::now());
+        local.apply_heartbeat(&heartbeat("i1", 1, false), Instant::now());
         assert_eq!(local.leave(&"i0".into()), Change::Nothing);
         assert!(local.open().is_some());
-        assert_eq!(local.leave(&"i1".into()), Change::Told);
+        assert_eq!(local.leave(&"i1".into()), Change::Publish);
         assert!(local.open().is_none() && local.is_leaving());
     }
 
@@ -1163,38 +1167,38 @@
         for restored_first in [false, true] {
             let mut local = Local::new(Span::from_millis(1500));
             if restored_first {
-                local.recall(Some(&written), now);
+                local.restore(Some(&written), now);
             }
             local.leave(&"i1".into());
-            assert_eq!(local.is_recalled(), restored_first);
-            local.recall(Some(&written), now);
-            local.hear(&heartbeat("i1", 9, false), now);
+            assert_eq!(local.is_restored(), restored_first);
+            local.restore(Some(&written), now);
+            local.apply_heartbeat(&heartbeat("i1", 9, false), now);
             assert!(local.open().is_none());
-            assert!(local.told()[0].draining);
+            assert!(local.announced()[0].draining);
         }
         // A leave without a start time, for an instance that was recorded with one.
         let mut local = Local::new(Span::from_millis(1500));
         written.targets[0].instance = "i1@100".into();
         local.leave(&"i1".into());
-        local.recall(Some(&written), now);
-        assert!(local.open().is_none() && local.told()[0].draining);
+        local.restore(Some(&written), now);
+        assert!(local.open().is_none() && local.announced()[0].draining);
         // A leave of an instance that was not recorded.
         let mut local = Local::new(Span::from_millis(1500));
-        local.recall(None, Instant::now());
+        local.restore(None, Instant::now());
         local.leave(&"i1".into());
-        local.hear(&heartbeat("i1", 9, false), now);
+        local.apply_heartbeat(&heartbeat("i1", 9, false), now);
         assert!(local.open().is_none());
     }
 
     target_without_heartbeats_is_considered_gone => {
         let mut local = Local::new(Span::from_millis(1500));
         let now = Instant::now();
-        local.recall(None, Instant::now());
-        local.hear(&heartbeat("i1", 1, false), now);
-        assert!(!local.fell_silent(now + Duration::from_secs(5)));
-        assert!(local.fell_silent(now + Duration::from_secs(7)));
+        local.restore(None, Instant::now());
+        local.apply_heartbeat(&heartbeat("i1", 1, false), now);
+        assert!(!local.check_missed_heartbeats(now + Duration::from_secs(5)));
+        assert!(local.check_missed_heartbeats(now + Duration::from_secs(7)));
         assert!(local.open().is_none());
-        local.hear(&heartbeat("i1", 2, false), now + Duration::from_secs(8));
+        local.apply_heartbeat(&heartbeat("i1", 2, false), now + Duration::from_secs(8));
         assert!(local.open().is_some());
     }
 
@@ -1250,12 +1254,12 @@
 served! {
     unusable_version_does_not_hide_an_older_one => {
         let mut host = host("here");
-        host.words.routes = Arc::new(|record| match record {
+        host.decoders.routes = Arc::new(|record| match record {
             b"good" => Ok(table(vec![route("r", "h", "/", &[("a", 1)])]).unwrap()),
             _ => Err(rilltrack::protocol::Error::new("version", "torn")),
         });
         let host = Arc::new(host);
-        host.known_to(Stream::Members, 1);
+        host.advance_offset(Stream::Members, 1);
         let store = Store {
             newest: Arc::new(|_| {
                 let records = ["good", "torn", "bad"].map(|text| text.into()).to_vec();
@@ -1263,7 +1267,7 @@
             }),
             ..recording_store().0
         };
-        let ask: Ask = Arc::new(|_, _| std::future::pending().boxed());
+        let ask: CallPeer = Arc::new(|_, _| std::future::pending().boxed());
         tokio::spawn(source::follow(host.clone(), store, ask, Stream::Routes));
         while host.version() == 0 {
             tokio::task::yield_now().await;
@@ -1573,7 +1577,7 @@
     peer_that_lacks_one_member_is_not_sent_all => {
         let host = host("here");
         let list: Vec<_> = (0..300).map(|i| member(&format!("n{i}"), "here", 10)).collect();
-        host.take_members(list.clone(), "store");
+        host.merge_members(list.clone(), "store");
         let mut peer_table = Table::default();
         for member in &list[1..] {
             peer_table.merge(member.clone());
@@ -1591,13 +1595,13 @@
     node_removes_a_former_member_at_its_own_address => {
         let host = Arc::new(host("here"));
         let elsewhere = Member { inbound: "127.0.0.1:2".parse().unwrap(), ..member("n2", "here", 10) };
-        host.take_members(vec![member("n1", "here", 10), elsewhere], "store");
-        host.known_to(Stream::Members, 1);
+        host.merge_members(vec![member("n1", "here", 10), elsewhere], "store");
+        host.advance_offset(Stream::Members, 1);
         let (store, mut written_members) = recording_store();
         // Writes the own record without waiting for a target.
-        host.changed.notify_one();
+        host.own_record_changed.notify_one();
         let written = watch::Sender::default();
-        tokio::spawn(presence::keep_written(host.clone(), store, written));
+        tokio::spawn(presence::maintain_record(host.clone(), store, written));
         assert_eq!(written_members.recv().await.unwrap().node.as_str(), "me");
         let removed = written_members.recv().await.unwrap();
         assert_eq!((removed.node.as_str(), removed.status), ("n1", Status::Gone));
@@ -1610,7 +1614,7 @@
         // If the node itself is reported gone by mistake, it publishes that it is alive.
         let me = members.get(&"me".parse().unwrap()).unwrap();
         let gone = Member { status: Status::Gone, sequence: me.sequence + 1, ..me.as_ref().clone() };
-        host.take_member(gone.clone(), "reader");
+        host.merge_member(gone.clone(), "reader");
         let republished = written_members.recv().await.unwrap();
         assert_eq!((republished.node.as_str(), republished.status), ("me", Status::Alive));
         assert!(republished.stamp() > gone.stamp());
@@ -1631,12 +1635,12 @@
         for i in 0..40 {
             // Their links are wider, so that they all rank before this node.
             let other = Member { bandwidth: 100, ..member(&format!("n{i}"), "here", 4) };
-            host.take_member(other, "test");
+            host.merge_member(other, "test");
         }
         // Counts a round for each request that is sent while no other is open.
         let (open, rounds) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
         let round_count = rounds.clone();
-        let ask: Ask = Arc::new(move |address, _| {
+        let ask: CallPeer = Arc::new(move |address, _| {
             let open = open.clone();
             if open.fetch_add(1, Ordering::SeqCst) == 0 {
                 round_count.fetch_add(1, Ordering::SeqCst);
@@ -1648,9 +1652,9 @@
             }
             .boxed()
         });
-        host.settle();
+        host.note_membership_settled();
         let mut reading = host.reading();
-        let watch_task = tokio::spawn(coordination::watch::keep(host.clone(), ask));
+        let watch_task = tokio::spawn(coordination::watch::run(host.clone(), ask));
         reading.wait_for(|reads| *reads).await.unwrap();
         watch_task.abort();
         assert!(rounds.load(Ordering::SeqCst) <= 7, "{rounds:?} rounds for 40 nodes");
