--- a/src/coordination/decision/quarantine/mod.rs
+++ b/src/coordination/decision/quarantine/mod.rs
@@ -72,7 +72,7 @@
 };
 
 /// The reason for refusing a quarantined request.
-pub const HELD_BACK: &str = "targets ended under this request";
+pub const QUARANTINED: &str = "targets ended under this request";
 
 /// How long an unexplained crash is remembered. A request that comes less often crashes one
 /// target in that time.
--- a/src/coordination/decision/rollout/judge.rs
+++ b/src/coordination/decision/rollout/judge.rs
@@ -92,36 +92,30 @@
         input.age + lead >= input.duration
     };
     match input.stage {
-        Stage::Ordered => Some((Stage::Trial, "new order")),
+        Stage::Ordered => Some((Stage::Trial, "it was ordered")),
         Stage::Trial => {
             if targets.failing >= MIN_FAILING_TARGETS {
-                return Some((
-                    Stage::RolledBack,
-                    "targets of the new release fail on trial",
-                ));
+                return Some((Stage::RolledBack, "targets fail on trial"));
             }
             let has_passed = targets.passing > targets.failing;
             let has_room =
                 f64::from(targets.new_slots) >= MIN_SLOT_RATIO * f64::from(targets.old_slots);
             if has_passed && has_room && is_within(FULL_TRAFFIC_LEAD) {
-                return Some((Stage::Moving, "the new release passed its trial"));
+                return Some((Stage::Moving, "it did well on trial"));
             }
             let why = match has_passed {
-                true => "the new targets have too few slots for all requests",
-                false => "the new release did not pass its trial in time",
+                true => "its targets have no room for all requests",
+                false => "it was not shown to do well in time",
             };
             is_within(FINISH_LEAD).then_some((Stage::RolledBack, why))
         }
         Stage::Moving => {
             if targets.failing >= MIN_FAILING_TARGETS.max(targets.new / FAILING_DIVISOR) {
-                let why = "targets of the new release fail with all requests";
+                let why = "targets fail under all requests";
                 return Some((Stage::RolledBack, why));
             }
             let is_due = is_within(FINISH_LEAD) && input.in_stage >= MIN_FULL_TRAFFIC;
-            is_due.then_some((
-                Stage::Completed,
-                "the new release does well with all requests",
-            ))
+            is_due.then_some((Stage::Completed, "it does well with all requests"))
         }
         Stage::Completed | Stage::RolledBack => None,
     }
--- a/src/coordination/flow.rs
+++ b/src/coordination/flow.rs
@@ -8,7 +8,7 @@
 //! are sent one after the other at the rate of the link. None waits while the link has room.
 //!
 //! Incoming: a body that the link can't transfer in time is rejected before it is sent
-//! ([`line`](crate::coordination::decision::line)).
+//! ([`link_share`](crate::coordination::decision::link_share)).
 
 use std::{
     sync::Arc,
--- a/src/coordination/host.rs
+++ b/src/coordination/host.rs
@@ -27,7 +27,7 @@
         gate::Gate,
         interface::{Decoders, Stream},
         local::Local,
-        review::Reviews,
+        quarantine::SharedQuarantine,
         rollout::Rollouts,
         watch::Skipped,
     },
@@ -83,7 +83,7 @@
     /// Estimates of how long callers have been retrying.
     pub request_ages: Mutex<Ages>,
     /// Which requests are quarantined because targets crash under them.
-    pub reviews: Reviews,
+    pub quarantine: SharedQuarantine,
     /// Paces large responses over the host's network link.
     pub response_flow: Flow,
     /// Weighted distribution of requests on split routes.
@@ -178,7 +178,7 @@
             retry_budget: Mutex::new(RetryBudget::new(retry_rule(&settings))),
             grace: Mutex::new(settings.grace),
             request_ages: Mutex::default(),
-            reviews: Reviews::default(),
+            quarantine: SharedQuarantine::default(),
             response_flow: Flow::new(settings.bandwidth()),
             split: Mutex::default(),
             rollouts: Rollouts::new(settings.exposure.map(|exposure| exposure.share)),
@@ -331,7 +331,7 @@
             .sum::<usize>();
         let known = table.len();
         drop(table);
-        self.reviews.hear(has_evidence);
+        self.quarantine.on_member_update(has_evidence);
         note!(
             self.journal,
             Event::MembersTaken,
@@ -349,7 +349,7 @@
         let has_evidence = !member.evidence.is_empty();
         let has_changed = self.members.write().merge(member);
         if has_changed {
-            self.reviews.hear(has_evidence);
+            self.quarantine.on_member_update(has_evidence);
             note!(
                 self.journal,
                 Event::MemberChanged,
@@ -483,7 +483,7 @@
     pub fn is_ready(&self) -> bool {
         self.routes.load().is_some()
             && self.offset(Stream::Members).is_some()
-            && self.reviews.are_done()
+            && self.quarantine.is_reviewed()
     }
 
     /// Records a hint if a peer's version or its offset of the members is newer than this
@@ -570,7 +570,7 @@
             reading: *self.is_reading.borrow(),
             lines_lost: self.journal.lost(),
             members: (members.len() - unreachable, unreachable),
-            held: self.reviews.held(now).len(),
+            held: self.quarantine.quarantined(now).len(),
         })
     }
 
--- a/src/coordination/interface.rs
+++ b/src/coordination/interface.rs
@@ -15,7 +15,7 @@
         dialect::Dialect,
         log::Batch,
         news::News,
-        rollout::{Order, Word},
+        rollout::{Order, Status},
         wire::{Frame, Reply},
     },
     state::routing,
@@ -62,14 +62,14 @@
     pub read_status: Arc<dyn Fn(Name) -> ResultFuture<StatusRecord> + Send + Sync>,
     /// Writes the status of an order if the stream of statuses still ends at the given
     /// offset. Returns whether the status was written.
-    pub write_status: Arc<dyn Fn(Word, u64) -> ResultFuture<bool> + Send + Sync>,
+    pub write_status: Arc<dyn Fn(Status, u64) -> ResultFuture<bool> + Send + Sync>,
 }
 
 /// The status of a roll-out order, for operators.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StatusRecord {
     /// The status, if one was written.
-    pub status: Option<Word>,
+    pub status: Option<Status>,
     /// The end offset of the stream of all statuses.
     pub end: u64,
 }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -25,7 +25,7 @@
 //!   other nodes receive what it read;
 //! * [`local`], [`presence`]: the target on this host, and what is published about it;
 //! * [`gate`]: admission to that target;
-//! * [`review`]: which requests are quarantined because targets crash under them;
+//! * [`quarantine`]: which requests are quarantined because targets crash under them;
 //! * [`rollout`]: which release of a service receives its requests;
 //! * [`decision`]: queueing, load shedding, target selection and retries.
 //!
@@ -53,8 +53,8 @@
 pub mod presence;
 pub mod probe;
 pub mod publish;
+pub mod quarantine;
 pub mod rank;
-pub mod review;
 pub mod rollout;
 pub mod scatter;
 pub mod snapshot;
--- a/src/coordination/presence.rs
+++ b/src/coordination/presence.rs
@@ -9,7 +9,7 @@
 use tokio::sync::watch;
 
 use crate::{
-    coordination::{host::Host, interface::Store, review, source},
+    coordination::{host::Host, interface::Store, quarantine, source},
     event::Event,
     id::Incarnation,
     journal::note,
@@ -44,7 +44,7 @@
         .lock()
         .restore(recorded.as_deref(), Instant::now());
     host.set_gate();
-    review::recall(&host);
+    quarantine::restore(&host);
     let mut member = recorded.as_deref().cloned();
     if member.is_none() {
         // Saves a record: the first one already has the target.
@@ -150,7 +150,7 @@
         labels: settings.labels.clone(),
         targets: host.local.lock().announced(),
         bandwidth: settings.bandwidth(),
-        evidence: host.reviews.evidence(),
+        evidence: host.quarantine.evidence(),
     };
     match held {
         Some(held) if *held != fresh => Member {
--- a/src/coordination/review.rs
+++ b/src/coordination/quarantine.rs
@@ -35,7 +35,7 @@
 
 /// The quarantine of this node, shared by the tasks that use it.
 #[derive(Debug, Default)]
-pub struct Reviews {
+pub struct SharedQuarantine {
     quarantine: Mutex<Quarantine>,
     /// Wakes the task that runs the reviews.
     wake: Notify,
@@ -45,7 +45,7 @@
     is_reviewed: AtomicBool,
 }
 
-impl Reviews {
+impl SharedQuarantine {
     /// Restores the crashes and quarantined requests that an earlier incarnation of this node
     /// reported. Only the first call has an effect.
     pub fn restore(&self, evidence: Option<&Evidence>) {
@@ -59,14 +59,14 @@
 
     /// Requests a review because the record of a member changed, if that record has evidence or
     /// any request is suspected or quarantined here.
-    pub fn hear(&self, has_evidence: bool) {
+    pub fn on_member_update(&self, has_evidence: bool) {
         if has_evidence || self.is_active() {
             self.wake.notify_one();
         }
     }
 
     /// Records that the local target crashed while it was running a request.
-    pub fn note_end(&self, instance: &Instance, content: Fingerprint) {
+    pub fn note_crash(&self, instance: &Instance, content: Fingerprint) {
         let mut quarantine = self.quarantine.lock();
         quarantine.note_crash(instance, content, Instant::now());
         self.is_active.store(true, Ordering::Relaxed);
@@ -80,18 +80,18 @@
     }
 
     /// Returns whether a request is quarantined.
-    pub fn is_held(&self, content: &Fingerprint) -> bool {
+    pub fn is_quarantined(&self, content: &Fingerprint) -> bool {
         self.is_active() && self.quarantine.lock().is_quarantined(content)
     }
 
     /// Returns whether a quarantined request may be sent to the local target now, as a trial,
     /// and if so records that the trial began.
-    pub fn try_again(&self, content: &Fingerprint) -> bool {
+    pub fn start_trial(&self, content: &Fingerprint) -> bool {
         self.quarantine.lock().start_trial(content, Instant::now())
     }
 
     /// Returns the quarantined requests, for operators.
-    pub fn held(&self, now: Instant) -> Vec<Quarantined> {
+    pub fn quarantined(&self, now: Instant) -> Vec<Quarantined> {
         let quarantine = self.quarantine.lock();
         let quarantined = quarantine
             .quarantined()
@@ -105,14 +105,14 @@
 
     /// Releases a request at every node on an operator's command; returns whether it was
     /// quarantined here.
-    pub fn let_go(&self, content: Fingerprint) -> bool {
+    pub fn release(&self, content: Fingerprint) -> bool {
         let was_quarantined = self.quarantine.lock().release(content, Instant::now());
         self.wake.notify_one();
         was_quarantined
     }
 
     /// Returns whether the first review has run, so that the quarantined requests are known.
-    pub fn are_done(&self) -> bool {
+    pub fn is_reviewed(&self) -> bool {
         self.is_reviewed.load(Ordering::Relaxed)
     }
 
@@ -133,10 +133,10 @@
 }
 
 /// Restores the evidence that an earlier incarnation of this node recorded in the store.
-pub fn recall(host: &Host) {
+pub fn restore(host: &Host) {
     let members = host.members.read();
     let recorded = members.get(&host.settings.node);
-    host.reviews
+    host.quarantine
         .restore(recorded.map(|member| &member.evidence));
 }
 
@@ -144,13 +144,13 @@
 ///
 /// The first review runs as soon as the members are known. Their records hold the evidence of
 /// earlier incarnations of this and other nodes, and this node accepts no request before.
-pub async fn keep(host: Arc<Host>) {
+pub async fn run(host: Arc<Host>) {
     host.until_members_known().await;
-    recall(&host);
+    restore(&host);
     review(&host);
     loop {
-        let wake = host.reviews.wake.notified();
-        if host.reviews.is_active() {
+        let wake = host.quarantine.wake.notified();
+        if host.quarantine.is_active() {
             // A timeout is no error: the review is due then, too.
             let _ = tokio::time::timeout(REVIEW_INTERVAL, wake).await;
         } else {
@@ -168,7 +168,7 @@
         let peers = members.iter().filter(|member| member.node != *me);
         let peers = peers.filter(|member| !member.evidence.is_empty());
         let peers: Vec<PeerEvidence<'_>> = peers.map(|member| peer_evidence(member)).collect();
-        host.reviews.review(me, &peers, members.len())
+        host.quarantine.review(me, &peers, members.len())
     };
     for (content, crashes) in &review.quarantined {
         note!(
--- a/src/coordination/rollout/duty.rs
+++ b/src/coordination/rollout/controller.rs
@@ -27,7 +27,7 @@
     journal::note,
     protocol::{
         operator::{Progress, Tried},
-        rollout::{State, Word},
+        rollout::{self, State},
     },
     state::{
         member::{Status, Table},
@@ -52,7 +52,7 @@
 const MAX_ATTEMPTS: usize = 8;
 
 /// Carries out orders while this node reads the store; never returns.
-pub async fn keep(host: Arc<Host>, store: Store) {
+pub async fn run(host: Arc<Host>, store: Store) {
     host.until_membership_settled().await;
     let mut reading = host.reading();
     let mut due = DueStages::default();
@@ -198,13 +198,15 @@
         let read = (store.read_status)(rollout.service.clone()).await;
         host.note_store("newest", &read, None);
         let latest = read?;
-        let is_of_order = |word: &Word| word.to == rollout.to && word.order == Some(rollout.order);
+        let is_of_order = |status: &rollout::Status| {
+            status.to == rollout.to && status.order == Some(rollout.order)
+        };
         if let Some(stored) = latest.status.filter(is_of_order)
             && (stored.state != State::Running || state == State::Running)
         {
             return Ok(stage_of(stored.state));
         }
-        let status = Word {
+        let status = rollout::Status {
             service: rollout.service.clone(),
             to: rollout.to.clone(),
             order: Some(rollout.order),
--- a/src/coordination/rollout/here.rs
+++ b/src/coordination/rollout/local.rs
@@ -6,12 +6,12 @@
     coordination::{host::Host, rollout::Answer},
     event::Event,
     journal::note,
-    state::rollout::{Rollout, Standing},
+    state::rollout::{Role, Rollout},
     unit::Span,
 };
 
 /// Merges roll-outs that were received; `from` names their source in the log.
-pub fn take(host: &Host, rollouts: Vec<Rollout>, from: &str) {
+pub fn receive(host: &Host, rollouts: Vec<Rollout>, from: &str) {
     let now = Instant::now();
     for rollout in rollouts {
         // A node that has been running learns of an order when it is given. One that has
@@ -36,18 +36,16 @@
 }
 
 /// Returns which requests this node's target may get, by its release.
-pub fn standing(host: &Host) -> Standing {
+pub fn role(host: &Host) -> Role {
     let local = host.local.lock();
     let members = host.members.read();
     let target = local.target();
-    target.map_or(Standing::Serves, |target| {
-        host.rollouts.standing(target, &members)
-    })
+    target.map_or(Role::Serving, |target| host.rollouts.role(target, &members))
 }
 
 /// Counts an answer of this node's target towards the trial of its release, if there is one.
 /// `usual` is the share of bad answers that the answer's sender sees of the serving release.
-pub fn weigh(host: &Host, answer: &Answer<'_>, usual: f64) {
+pub fn assess(host: &Host, answer: &Answer<'_>, usual: f64) {
     let mut local = host.local.lock();
     let changed = local
         .target()
@@ -71,12 +69,12 @@
 }
 
 /// Returns the wall-clock time in milliseconds since 1970, or 0 if the clock is before that.
-pub fn time_of_day() -> u64 {
+pub fn unix_millis() -> u64 {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
     elapsed.map_or(0, |elapsed| Span::of(elapsed).as_millis())
 }
 
 /// Returns the time that has passed since a wall-clock time in milliseconds since 1970.
-fn elapsed_since(unix_millis: u64) -> Duration {
-    Duration::from_millis(time_of_day().saturating_sub(unix_millis))
+fn elapsed_since(began_millis: u64) -> Duration {
+    Duration::from_millis(unix_millis().saturating_sub(began_millis))
 }
--- a/src/coordination/rollout/mod.rs
+++ b/src/coordination/rollout/mod.rs
@@ -1,11 +1,11 @@
 //! Roll-outs at one node: to which targets a request may go, by their release, and the trial
 //! of this node's target.
 //!
-//! * [`here`]: receives roll-outs and applies them to this node's target;
-//! * [`duty`]: carries out orders, at the nodes that read the store.
+//! * [`local`]: receives roll-outs and applies them to this node's target;
+//! * [`controller`]: carries out orders, at the nodes that read the store.
 
-pub mod duty;
-pub mod here;
+pub mod controller;
+pub mod local;
 
 use std::{
     collections::BTreeMap,
@@ -23,13 +23,13 @@
     id::{Instance, Name, Node, Release},
     state::{
         member::{Member, Table, Target, Verdict},
-        rollout::{Latest, Rollout, Stage, Standing},
+        rollout::{Latest, Role, Rollout, Stage},
     },
 };
 
 /// A subset of a service's targets to which a request may go.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Lane {
+pub enum Subset {
     /// All targets.
     All,
     /// The targets of one release, and those that name no release.
@@ -38,7 +38,7 @@
     Trial(Vec<Node>),
 }
 
-impl Lane {
+impl Subset {
     /// Returns whether a member's target of `service` is in the subset.
     pub fn admits(&self, member: &Member, service: &Name) -> bool {
         match self {
@@ -113,14 +113,14 @@
     /// Whether the target reported a failure.
     pub is_fault: bool,
     /// The run time.
-    pub ran: Duration,
+    pub run_time: Duration,
     /// The usual run time, if it is known.
-    pub usual: Option<Duration>,
+    pub usual_run_time: Option<Duration>,
 }
 
 impl Answer<'_> {
     fn is_bad(&self) -> bool {
-        trial::is_bad(self.is_fault, self.ran, self.usual)
+        trial::is_bad(self.is_fault, self.run_time, self.usual_run_time)
     }
 }
 
@@ -176,7 +176,7 @@
     }
 
     /// Returns the latest roll-out of each service.
-    pub fn all(&self) -> Vec<Rollout> {
+    pub fn latest(&self) -> Vec<Rollout> {
         self.state.lock().latest.iter().cloned().collect()
     }
 
@@ -217,16 +217,16 @@
     /// preference. `may_try` states whether the request may go to a target on trial.
     ///
     /// If the first subset is a trial, the request is taken from the trial's budget.
-    pub fn lanes(&self, service: &Name, table: &Table, may_try: bool) -> [Option<Lane>; 2] {
+    pub fn subsets(&self, service: &Name, table: &Table, may_try: bool) -> [Option<Subset>; 2] {
         let Some(share) = self.share else {
-            return [Some(Lane::All), None];
+            return [Some(Subset::All), None];
         };
         let mut state = self.state.lock();
         let Some(rollout) = state.latest.get(service) else {
             return [Some(without_order(service, table)), None];
         };
-        let from = rollout.from.clone().map(Lane::Release);
-        let to = || Some(Lane::Release(rollout.to.clone()));
+        let from = rollout.from.clone().map(Subset::Release);
+        let to = || Some(Subset::Release(rollout.to.clone()));
         match rollout.stage {
             Stage::Completed => [to(), None],
             Stage::Moving => [to(), from],
@@ -237,24 +237,24 @@
                 }
                 drop(state);
                 let nodes = canary::nodes(table, &rollout, share * canary::TRIAL_FRACTION);
-                [Some(Lane::Trial(nodes)), from]
+                [Some(Subset::Trial(nodes)), from]
             }
             Stage::Ordered if from.is_none() => {
                 let main = table.main_release(service, Some(&rollout.to));
-                [main.cloned().map(Lane::Release), None]
+                [main.cloned().map(Subset::Release), None]
             }
             Stage::Ordered | Stage::Trial | Stage::RolledBack => [from, None],
         }
     }
 
     /// Returns a request to the trial's budget, since no target of the subset was chosen.
-    pub fn give_back(&self, service: &Name) {
+    pub fn refund(&self, service: &Name) {
         self.state.lock().budget.refund(service);
     }
 
     /// Records how an attempt at a target of a service ended: whether the request arrived,
     /// and the answer if there is one.
-    pub fn note_try(
+    pub fn record_attempt(
         &self,
         target: Option<&Target>,
         service: &Name,
@@ -264,13 +264,13 @@
         let Some(share) = self.share else { return };
         let mut state = self.state.lock();
         let release = target.and_then(|target| target.release.as_ref());
-        let standing = release.and_then(|release| state.latest.standing(service, release));
+        let role = release.and_then(|release| state.latest.role(service, release));
         let open = state.latest.get(service).filter(|r| !r.stage.is_final());
         let is_new = open.is_some_and(|rollout| release == Some(&rollout.to));
         if has_arrived && open.is_some() {
             state.budget.add(service, share * canary::TRIAL_FRACTION);
         }
-        if standing == Some(Standing::Trial) && !has_arrived {
+        if role == Some(Role::Canary) && !has_arrived {
             state.budget.refund(service);
         }
         if let Some(answer) = answer.filter(|_| !is_new) {
@@ -280,13 +280,13 @@
 
     /// Returns whether a new release of a service gets a share of its requests, or all, and
     /// can still be rolled back.
-    pub fn is_trying(&self, service: &Name) -> bool {
+    pub fn is_evaluating(&self, service: &Name) -> bool {
         self.share.is_some() && self.state.lock().evaluated(service).is_some()
     }
 
     /// Returns the share of bad answers on a route, as this node sees it of the serving
     /// releases.
-    pub fn usual(&self, route: &Name) -> f64 {
+    pub fn baseline(&self, route: &Name) -> f64 {
         match self.share {
             Some(_) => self.state.lock().baseline.share(route),
             None => 0.0,
@@ -294,28 +294,28 @@
     }
 
     /// Forgets the routes that no longer exist.
-    pub fn retain(&self, exists: impl Fn(&Name) -> bool) {
+    pub fn retain_routes(&self, exists: impl Fn(&Name) -> bool) {
         self.state.lock().baseline.retain(exists);
     }
 
     /// Returns which requests this node's target may get.
-    pub fn standing(&self, target: &Target, table: &Table) -> Standing {
+    pub fn role(&self, target: &Target, table: &Table) -> Role {
         let Some(release) = target.release.as_ref().filter(|_| self.share.is_some()) else {
-            return Standing::Serves;
+            return Role::Serving;
         };
         let state = self.state.lock();
         let Some(rollout) = state.latest.get(&target.service) else {
             return match without_order(&target.service, table) {
-                Lane::Release(main) if main != *release => Standing::Barred,
-                _ => Standing::Serves,
+                Subset::Release(main) if main != *release => Role::Excluded,
+                _ => Role::Serving,
             };
         };
         let is_failing = target.is_failing(rollout.order) == Some(true);
-        match rollout.standing(release) {
+        match rollout.role(release) {
             _ if is_failing && *release == rollout.to && !rollout.stage.is_final() => {
-                Standing::Barred
+                Role::Excluded
             }
-            standing => standing,
+            role => role,
         }
     }
 
@@ -354,10 +354,10 @@
 /// Returns the serving targets of a service for which no order is known: those of the release
 /// that most of the service's targets have. Targets of another release may be there already,
 /// before this node learns of the order that names their release.
-fn without_order(service: &Name, table: &Table) -> Lane {
+fn without_order(service: &Name, table: &Table) -> Subset {
     if !table.has_releases(service) {
-        return Lane::All;
+        return Subset::All;
     }
     let main = table.main_release(service, None).cloned();
-    main.map_or(Lane::All, Lane::Release)
+    main.map_or(Subset::All, Subset::Release)
 }
--- a/src/coordination/source.rs
+++ b/src/coordination/source.rs
@@ -21,7 +21,7 @@
         Error,
         host::Host,
         interface::{CallPeer, PeerRequest, Records, Store, Stream},
-        rollout::here,
+        rollout::local,
         spread, watch,
     },
     event::Event,
@@ -286,7 +286,7 @@
         };
         tokio::spawn(spread::relay(call_peer.clone(), relayed));
     }
-    here::take(host, news.rollouts, "reader");
+    local::receive(host, news.rollouts, "reader");
     let stream = news.load.stream();
     let is_whole = match news.load {
         Load::Routes(delta) => host.apply_routes(delta, "reader"),
@@ -437,7 +437,7 @@
     let Some(answer) = decode::<Members<Member>>(host, answer, "news", "peer") else {
         return;
     };
-    here::take(host, answer.rollouts, "peer");
+    local::receive(host, answer.rollouts, "peer");
     host.merge_members(answer.members, "peer");
     host.advance_offset(Stream::Members, answer.at);
 }
@@ -504,11 +504,11 @@
             to: order.to,
             duration: order.duration,
             stage: Stage::Ordered,
-            began: here::time_of_day(),
+            began: local::unix_millis(),
         })
     });
     let rollouts: Vec<Rollout> = decoded.collect();
-    here::take(host, rollouts.clone(), "store");
+    local::receive(host, rollouts.clone(), "store");
     rollouts
 }
 
@@ -541,7 +541,7 @@
             None => {}
         }
     }
-    here::take(host, rollouts, from);
+    local::receive(host, rollouts, from);
     host.merge_members(members, from);
 }
 
@@ -568,7 +568,7 @@
             .into_iter()
             .map(AsRef::as_ref)
             .collect::<Vec<&Member>>(),
-        rollouts: host.rollouts.all(),
+        rollouts: host.rollouts.latest(),
     };
     rmp_serde::to_vec_named(&answer)
         .expect("plain data always encodes")
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -21,7 +21,7 @@
         host,
         interface::{CallPeer, Decoders, Store, Stream},
         presence::{self, Recorded},
-        probe, review, rollout, source, watch as reader,
+        probe, quarantine, rollout, source, watch as reader,
     },
     event::{Event, Journal},
     journal::note,
@@ -267,8 +267,8 @@
     }
     tokio::spawn(source::follow_hints(host.clone(), call_peer.clone()));
     tokio::spawn(reader::run(host.clone(), call_peer.clone()));
-    tokio::spawn(review::keep(host.clone()));
-    tokio::spawn(rollout::duty::keep(host.clone(), store.clone()));
+    tokio::spawn(quarantine::run(host.clone()));
+    tokio::spawn(rollout::controller::run(host.clone(), store.clone()));
     tokio::spawn(probe::run(host.clone(), call_peer));
     tokio::spawn(presence::maintain_record(host, store, recorded));
     serve_all(listeners).await;
--- a/src/protocol/rollout.rs
+++ b/src/protocol/rollout.rs
@@ -18,7 +18,7 @@
 
 /// The status of an order, as operators read it from the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Word {
+pub struct Status {
     /// The service.
     pub service: Name,
     /// The new release.
--- a/src/state/rollout.rs
+++ b/src/state/rollout.rs
@@ -7,7 +7,7 @@
 //!
 //! ```
 //! use rilltrack::{
-//!     state::rollout::{Latest, Rollout, Stage, Standing},
+//!     state::rollout::{Latest, Role, Rollout, Stage},
 //!     unit::Span,
 //! };
 //!
@@ -25,8 +25,8 @@
 //! let mut latest = Latest::default();
 //! latest.merge(Rollout { stage: Stage::Trial, ..ordered.clone() });
 //! assert!(!latest.merge(ordered), "an earlier stage is ignored");
-//! assert_eq!(latest.standing(&service, &new), Some(Standing::Trial));
-//! assert_eq!(latest.standing(&service, &old), Some(Standing::Serves));
+//! assert_eq!(latest.role(&service, &new), Some(Role::Canary));
+//! assert_eq!(latest.role(&service, &old), Some(Role::Serving));
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
@@ -100,13 +100,13 @@
 
 /// Which requests a target may get, by its release.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Standing {
+pub enum Role {
     /// Any request for its service.
-    Serves,
+    Serving,
     /// A small share of the requests for its service.
-    Trial,
+    Canary,
     /// No requests.
-    Barred,
+    Excluded,
 }
 
 impl Rollout {
@@ -120,20 +120,20 @@
     }
 
     /// Returns which requests a target of `release` may get.
-    pub fn standing(&self, release: &Release) -> Standing {
+    pub fn role(&self, release: &Release) -> Role {
         if *release == self.to {
             return match self.stage {
-                Stage::Ordered | Stage::RolledBack => Standing::Barred,
-                Stage::Trial => Standing::Trial,
-                Stage::Moving | Stage::Completed => Standing::Serves,
+                Stage::Ordered | Stage::RolledBack => Role::Excluded,
+                Stage::Trial => Role::Canary,
+                Stage::Moving | Stage::Completed => Role::Serving,
             };
         }
         let is_replaced = self.stage == Stage::Completed;
         let is_unrelated = self.from.as_ref().is_some_and(|from| from != release);
         if is_replaced || is_unrelated {
-            Standing::Barred
+            Role::Excluded
         } else {
-            Standing::Serves
+            Role::Serving
         }
     }
 
@@ -178,8 +178,8 @@
 
     /// Returns which requests a target of a service may get, by its release, or `None` if no
     /// order for the service is known.
-    pub fn standing(&self, service: &Name, release: &Release) -> Option<Standing> {
-        self.get(service).map(|rollout| rollout.standing(release))
+    pub fn role(&self, service: &Name, release: &Release) -> Option<Role> {
+        self.get(service).map(|rollout| rollout.role(release))
     }
 
     /// Returns the latest roll-outs of all services, in order of the services' names.
--- a/src/transport/relay/control.rs
+++ b/src/transport/relay/control.rs
@@ -22,7 +22,7 @@
         interface::{CallPeer, PeerRequest},
         local::Change,
         presence::Recorded,
-        rollout::duty,
+        rollout::controller,
         source,
     },
     event::Event,
@@ -146,8 +146,8 @@
                 MEMBERS => members(&host, request.into_body()).await,
                 SEEN => Response::new(Body::whole(encode(&host.progress()))),
                 NEWS => news(&host, &ask, request.into_body()).await,
-                ROLLOUTS => json(&duty::progress(&host)),
-                HELD => json(&host.reviews.held(Instant::now())),
+                ROLLOUTS => json(&controller::progress(&host)),
+                HELD => json(&host.quarantine.quarantined(Instant::now())),
                 LET_GO => let_go(&host, request.into_body()).await,
                 _ => plain(StatusCode::NOT_FOUND),
             }
@@ -200,7 +200,7 @@
         return plain(StatusCode::BAD_REQUEST);
     };
     match serde_json::from_slice::<Fingerprint>(&bytes) {
-        Ok(content) => json(&host.reviews.let_go(content)),
+        Ok(content) => json(&host.quarantine.release(content)),
         Err(_) => plain(StatusCode::BAD_REQUEST),
     }
 }
--- a/src/transport/relay/egress.rs
+++ b/src/transport/relay/egress.rs
@@ -17,11 +17,11 @@
         decision::{
             attempts,
             balance::{self, Choice, Criteria, Report},
-            quarantine::HELD_BACK,
+            quarantine::QUARANTINED,
         },
         host::Host,
         interface::Stream,
-        rollout::{Answer, Lane},
+        rollout::{Answer, Subset},
     },
     event::Event,
     host::metrics,
@@ -138,7 +138,9 @@
         if let Some(table) = self.host.routes() {
             let mut ages = self.host.request_ages.lock();
             ages.retain(|route| table.has_route(route));
-            self.host.rollouts.retain(|route| table.has_route(route));
+            self.host
+                .rollouts
+                .retain_routes(|route| table.has_route(route));
         }
         let members = self.host.members.read();
         self.host
@@ -269,14 +271,14 @@
         let bytes = whole.as_ref().map_or(KEPT_BODY, Bytes::len);
         let content = content::fingerprint(&call.head, whole.as_deref());
         while attempts.may_ask(&call.request(), Instant::now()) {
-            let is_quarantined = self.host.reviews.is_held(&content);
+            let is_quarantined = self.host.quarantine.is_quarantined(&content);
             let choice = match is_quarantined {
                 true => self.trial_target(call, &content, attempts),
                 false => self.choose_target(call, bytes, attempts),
             };
             let Some(choice) = choice else {
                 match is_quarantined {
-                    true => attempts.keep_refusal(Refusal::rejected(503, HELD_BACK)),
+                    true => attempts.keep_refusal(Refusal::rejected(503, QUARANTINED)),
                     false => self.log_no_target(call, attempts),
                 }
                 break;
@@ -308,7 +310,7 @@
             if let AttemptOutcome::Answered(response) = &outcome
                 && response.body().is_whole()
             {
-                self.host.reviews.note_answer(content);
+                self.host.quarantine.note_answer(content);
             }
             if let AttemptOutcome::Answered(response) = &outcome
                 && let Some(bytes) = response.body().length()
@@ -339,7 +341,7 @@
         let subsets = self
             .host
             .rollouts
-            .lanes(service, &members, attempts.nodes.is_empty());
+            .subsets(service, &members, attempts.nodes.is_empty());
         let mut balancer = self.host.balancer.lock();
         for subset in subsets.into_iter().flatten() {
             let is_eligible = |member: &Member| {
@@ -349,8 +351,8 @@
             if choice.is_some() {
                 return choice;
             }
-            if matches!(subset, Lane::Trial(_)) {
-                self.host.rollouts.give_back(service);
+            if matches!(subset, Subset::Trial(_)) {
+                self.host.rollouts.refund(service);
             }
         }
         None
@@ -370,8 +372,8 @@
             AttemptOutcome::Answered(response) => Some(Answer {
                 route: &call.route.name,
                 is_fault: response.status().is_server_error(),
-                ran: run_time.unwrap_or_default(),
-                usual: usual_run_time,
+                run_time: run_time.unwrap_or_default(),
+                usual_run_time,
             }),
             // An aborted run counts as a bad answer of any release. The baseline of the serving
             // release must include its aborted runs, or the new one would be judged more
@@ -379,12 +381,12 @@
             AttemptOutcome::Refused(refused) => refused.is_fault().then(|| Answer {
                 route: &call.route.name,
                 is_fault: true,
-                ran: run_time.unwrap_or_default(),
-                usual: usual_run_time,
+                run_time: run_time.unwrap_or_default(),
+                usual_run_time,
             }),
         };
         let rollouts = &self.host.rollouts;
-        rollouts.note_try(
+        rollouts.record_attempt(
             target,
             &call.service,
             outcome.has_arrived(),
@@ -445,7 +447,7 @@
         let member = members
             .get(&self.host.settings.node)
             .filter(|_| is_eligible)?;
-        if !self.host.reviews.try_again(content) {
+        if !self.host.quarantine.start_trial(content) {
             return None;
         }
         note!(self.host.journal, Event::TriedAgain, content = content);
@@ -489,7 +491,7 @@
             deadline: call.deadline,
             is_trial,
             is_repeat: attempts.arrivals > 0,
-            fault_permille: (self.host.rollouts.usual(&call.route.name) * 1000.0) as u16,
+            fault_permille: (self.host.rollouts.baseline(&call.route.name) * 1000.0) as u16,
         };
         let is_large = body.length().is_none_or(balance::is_large);
         let outcome = if member.node == self.host.settings.node {
--- a/src/transport/relay/ingress.rs
+++ b/src/transport/relay/ingress.rs
@@ -10,11 +10,11 @@
 
 use crate::{
     coordination::{
-        decision::{balance, link_share, quarantine::HELD_BACK},
+        decision::{balance, link_share, quarantine::QUARANTINED},
         flow::Reservation,
         gate::{self, Arrival, LEAVING, NO_TARGET, Permit},
         host::Host,
-        rollout::{Answer, here},
+        rollout::{Answer, local},
     },
     event::Event,
     id::Name,
@@ -23,7 +23,7 @@
         answer::{Outcome, Refusal},
         hop::{self, Ask, Told},
     },
-    state::{fingerprint::Fingerprint, rollout::Standing},
+    state::{fingerprint::Fingerprint, rollout::Role},
     transport::{
         http,
         relay::{
@@ -197,7 +197,7 @@
             let refusal = Refusal::not_run(OTHER_NODE, Span::from_millis(0));
             return Err(Refused::before_arrival(refusal));
         }
-        if here::standing(&self.host) == Standing::Barred {
+        if local::role(&self.host) == Role::Excluded {
             // The target's release is not ordered, was rolled back, or fails as a canary.
             return Err(Refused::before_arrival(gate::no_target()));
         }
@@ -220,8 +220,8 @@
             deadline: delivery.deadline,
         };
         // The sender may not know yet that targets crash under this request.
-        if !delivery.is_trial && self.host.reviews.is_held(&run.content) {
-            return Err(Refused::before_arrival(Refusal::rejected(503, HELD_BACK)));
+        if !delivery.is_trial && self.host.quarantine.is_quarantined(&run.content) {
+            return Err(Refused::before_arrival(Refusal::rejected(503, QUARANTINED)));
         }
         permit.start_run(delivery.is_repeat);
         let result = self.run(delivery, permit, &run, body).await;
@@ -288,7 +288,7 @@
         is_fault: bool,
         run_time: Duration,
     ) {
-        if !self.host.rollouts.is_trying(&delivery.service) {
+        if !self.host.rollouts.is_evaluating(&delivery.service) {
             return;
         }
         let routes = self.host.routes();
@@ -299,10 +299,10 @@
         let answer = Answer {
             route: &route.name,
             is_fault,
-            ran: run_time,
-            usual: delivery.arrival.usual_run_time,
+            run_time,
+            usual_run_time: delivery.arrival.usual_run_time,
         };
-        here::weigh(
+        local::assess(
             &self.host,
             &answer,
             f64::from(delivery.fault_permille) / 1000.0,
@@ -437,7 +437,9 @@
             return TARGET_BROKE_OFF;
         }
         let dialect = &self.host.decoders.dialect;
-        self.host.reviews.note_end(&target.instance, run.content);
+        self.host
+            .quarantine
+            .note_crash(&target.instance, run.content);
         note!(
             self.host.journal,
             Event::TargetEnded,
@@ -531,7 +533,7 @@
         let body = match read {
             Read::Whole(bytes) => {
                 self.pool.put_back(connection);
-                self.host.reviews.note_answer(run.content);
+                self.host.quarantine.note_answer(run.content);
                 Body::whole(bytes)
             }
             Read::Start(first, rest) => {
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -128,7 +128,7 @@
 
     /// Returns the stage of the latest roll-out of a service, as this host knows it.
     pub fn rollout(&self, service: &str) -> Option<String> {
-        let rollouts = self.process.as_ref().unwrap().host.rollouts.all();
+        let rollouts = self.process.as_ref().unwrap().host.rollouts.latest();
         let rollout = rollouts.iter().find(|r| r.service.as_str() == service)?;
         Some(format!("{:?}", rollout.stage))
     }
--- a/standins/tests/fatal.rs
+++ b/standins/tests/fatal.rs
@@ -15,7 +15,7 @@
 
 use std::time::Duration;
 
-use rilltrack::coordination::decision::quarantine::HELD_BACK;
+use rilltrack::coordination::decision::quarantine::QUARANTINED;
 use rilltrack_standins::{
     cases,
     fleet::{Host, version},
@@ -74,7 +74,7 @@
                 let id = format!("until-{i}-{count}");
                 let answer = self.hosts[i].ask("GET", POISON_PATH, &id, "").await;
                 self.restart().await;
-                if status(&answer) == "503" && answer.contains(HELD_BACK) {
+                if status(&answer) == "503" && answer.contains(QUARANTINED) {
                     break;
                 }
                 count += 1;
@@ -91,7 +91,7 @@
             let answer = host
                 .ask("GET", POISON_PATH, &format!("held-{why}"), "")
                 .await;
-            assert!(answer.contains(HELD_BACK), "{why}: {answer}");
+            assert!(answer.contains(QUARANTINED), "{why}: {answer}");
         }
         assert_eq!(self.crash_count(), before, "{why}");
     }
@@ -210,7 +210,7 @@
             let answer = fleet.hosts[i % 6].ask("POST", "/post/a/fatal", &id, "x").await;
             fleet.restart().await;
             if status(&answer) == "503" {
-                assert!(answer.contains(HELD_BACK), "{answer}");
+                assert!(answer.contains(QUARANTINED), "{answer}");
                 let runs = fleet.hosts.iter().filter(|host| host.target.ran().contains(&id));
                 assert_eq!(runs.count(), 0);
                 break;
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -11,12 +11,12 @@
             judge::{self, Input, TargetCounts},
             trial::{self, Trial},
         },
-        rollout::{Answer, Lane, Rollouts},
+        rollout::{Answer, Rollouts, Subset},
     },
     id::{Incarnation, Name, Release},
     state::{
         member::{Member, Status, Table, Target, Verdict},
-        rollout::{Latest, Rollout, Stage, Standing},
+        rollout::{Latest, Role, Rollout, Stage},
     },
     unit::Span,
 };
@@ -170,18 +170,18 @@
     fn release_without_an_order_gets_no_requests(stage in 0usize..5, version in "v[1-4]") {
         let mut latest = Latest::default();
         latest.merge(rollout(1, STAGES[stage]));
-        let standing = latest.standing(&name("a"), &release(&version)).unwrap();
+        let role = latest.role(&name("a"), &release(&version)).unwrap();
         let expected = match (version.as_str(), STAGES[stage]) {
-            ("v1", Stage::Completed) => Standing::Barred,
-            ("v1", _) => Standing::Serves,
-            ("v2", Stage::Ordered | Stage::RolledBack) => Standing::Barred,
-            ("v2", Stage::Trial) => Standing::Trial,
-            ("v2", _) => Standing::Serves,
+            ("v1", Stage::Completed) => Role::Excluded,
+            ("v1", _) => Role::Serving,
+            ("v2", Stage::Ordered | Stage::RolledBack) => Role::Excluded,
+            ("v2", Stage::Trial) => Role::Canary,
+            ("v2", _) => Role::Serving,
             // While the serving release is unknown, all releases but the new one serve.
-            (_, Stage::Ordered) => Standing::Serves,
-            _ => Standing::Barred,
+            (_, Stage::Ordered) => Role::Serving,
+            _ => Role::Excluded,
         };
-        prop_assert_eq!(standing, expected);
+        prop_assert_eq!(role, expected);
     }
 
     /// The release on trial gets its share of all arrivals, plus what a node can save up,
@@ -217,33 +217,33 @@
         // The targets of v2 are known before the order is.
         let rollouts = Rollouts::new(Some(0.1));
         let table = table(3, 2);
-        let [Some(Lane::Release(serving)), None] = rollouts.lanes(&name("a"), &table, true) else {
+        let [Some(Subset::Release(serving)), None] = rollouts.subsets(&name("a"), &table, true) else {
             panic!("one release serves");
         };
         assert_eq!(serving, release("v1"));
-        let standing = |node: &str| {
+        let role = |node: &str| {
             let member = table.get(&node.parse().unwrap()).unwrap();
-            rollouts.standing(&member.targets[0], &table)
+            rollouts.role(&member.targets[0], &table)
         };
-        assert_eq!((standing("new0"), standing("old0")), (Standing::Barred, Standing::Serves));
+        assert_eq!((role("new0"), role("old0")), (Role::Excluded, Role::Serving));
         // If roll-outs are disabled, all releases are treated alike.
         let disabled = Rollouts::new(None);
-        assert_eq!(disabled.lanes(&name("a"), &table, true), [Some(Lane::All), None]);
+        assert_eq!(disabled.subsets(&name("a"), &table, true), [Some(Subset::All), None]);
     }
 
     completed_release_serves_until_the_next_order_is_completed => {
         let mut latest = Latest::default();
         latest.merge(rollout(1, Stage::Completed));
         latest.merge(Rollout { to: release("v3"), ..rollout(2, Stage::Ordered) });
-        let standing = |version| latest.standing(&name("a"), &release(version)).unwrap();
-        assert_eq!([standing("v1"), standing("v2"), standing("v3")],
-            [Standing::Barred, Standing::Serves, Standing::Barred]);
+        let role = |version| latest.role(&name("a"), &release(version)).unwrap();
+        assert_eq!([role("v1"), role("v2"), role("v3")],
+            [Role::Excluded, Role::Serving, Role::Excluded]);
         // After a rollback, the release before that one serves.
         latest.merge(Rollout { to: release("v3"), from: None, ..rollout(2, Stage::RolledBack) });
         latest.merge(Rollout { to: release("v4"), ..rollout(3, Stage::Ordered) });
-        let standing = |version| latest.standing(&name("a"), &release(version)).unwrap();
-        assert_eq!([standing("v2"), standing("v3"), standing("v4")],
-            [Standing::Serves, Standing::Barred, Standing::Barred]);
+        let role = |version| latest.role(&name("a"), &release(version)).unwrap();
+        assert_eq!([role("v2"), role("v3"), role("v4")],
+            [Role::Serving, Role::Excluded, Role::Excluded]);
     }
 
     targets_on_trial_get_the_load_of_serving_targets => {
@@ -267,10 +267,10 @@
         let rollouts = Rollouts::new(Some(0.1));
         rollouts.merge(order, Duration::ZERO, Instant::now());
         let target = &table.get(&first).unwrap().targets[0];
-        assert_eq!(rollouts.standing(target, &table), Standing::Barred);
+        assert_eq!(rollouts.role(target, &table), Role::Excluded);
         // The verdict is on the trial of the first order; it does not count for the next one.
         rollouts.merge(rollout(2, Stage::Trial), Duration::ZERO, Instant::now());
-        assert_eq!(rollouts.standing(target, &table), Standing::Trial);
+        assert_eq!(rollouts.role(target, &table), Role::Canary);
     }
 
     bad_release_is_detected_within_fifty_bad_answers => {
@@ -368,24 +368,24 @@
     lanes_depend_on_the_stage => {
         let rollouts = Rollouts::new(Some(0.1));
         let (table, service, now) = (table(8, 8), name("a"), Instant::now());
-        let only = |version: &str| Some(Lane::Release(release(version)));
+        let only = |version: &str| Some(Subset::Release(release(version)));
         rollouts.merge(rollout(1, Stage::Ordered), Duration::ZERO, now);
-        assert_eq!(rollouts.lanes(&service, &table, true), [only("v1"), None]);
+        assert_eq!(rollouts.subsets(&service, &table, true), [only("v1"), None]);
         rollouts.merge(rollout(1, Stage::Trial), Duration::ZERO, now);
-        assert_eq!(rollouts.lanes(&service, &table, true), [only("v1"), None], "no arrivals yet");
+        assert_eq!(rollouts.subsets(&service, &table, true), [only("v1"), None], "no arrivals yet");
         let old = &table.get(&"old0".parse().unwrap()).unwrap().targets[0];
         for _ in 0..40 {
-            rollouts.note_try(Some(old), &service, true, None);
+            rollouts.record_attempt(Some(old), &service, true, None);
         }
-        assert_eq!(rollouts.lanes(&service, &table, false)[0], only("v1"), "no retry at a target on trial");
-        let [Some(Lane::Trial(nodes)), fallback] = rollouts.lanes(&service, &table, true) else {
+        assert_eq!(rollouts.subsets(&service, &table, false)[0], only("v1"), "no retry at a target on trial");
+        let [Some(Subset::Trial(nodes)), fallback] = rollouts.subsets(&service, &table, true) else {
             panic!("two of forty requests are for the trial");
         };
         assert_eq!((nodes.len(), fallback), (2, only("v1")));
         rollouts.merge(rollout(1, Stage::Moving), Duration::ZERO, now);
-        assert_eq!(rollouts.lanes(&service, &table, true), [only("v2"), only("v1")]);
+        assert_eq!(rollouts.subsets(&service, &table, true), [only("v2"), only("v1")]);
         rollouts.merge(rollout(1, Stage::Completed), Duration::ZERO, now);
-        assert_eq!(rollouts.lanes(&service, &table, true), [only("v2"), None]);
+        assert_eq!(rollouts.subsets(&service, &table, true), [only("v2"), None]);
     }
 
     answers_count_only_while_the_release_is_on_trial => {
@@ -393,7 +393,7 @@
         let table = table(1, 1);
         let target = &table.get(&"new0".parse().unwrap()).unwrap().targets[0];
         let route = name("r");
-        let answer = Answer { route: &route, is_fault: true, ran: Duration::ZERO, usual: None };
+        let answer = Answer { route: &route, is_fault: true, run_time: Duration::ZERO, usual_run_time: None };
         let assess = || (0..30).find_map(|_| rollouts.assess(target, &answer, 0.0));
         assert!(assess().is_none());
         rollouts.merge(rollout(1, Stage::Trial), Duration::ZERO, Instant::now());
