--- a/src/coordination/decision/balance.rs
+++ b/src/coordination/decision/balance.rs
@@ -19,7 +19,7 @@
 use crate::{
     coordination::decision::reach::{Failure, Reachability},
     id::{Incarnation, Instance, Name, Node},
-    protocol::dialect::{Load, Pace},
+    protocol::dialect::{Load, Slowdown},
     state::member::{Member, Status, Table},
 };
 
@@ -120,12 +120,12 @@
     /// Requests sent since the report.
     sent_since_report: u32,
     /// The slowdown of its target, as reported or observed.
-    slowdown: Pace,
+    slowdown: Slowdown,
     /// When `slowdown` was last updated.
     slowdown_at: Instant,
     /// The slowdown of requests with a large body or answer, network path included, as this
     /// node observed it.
-    transfer_slowdown: Pace,
+    transfer_slowdown: Slowdown,
     /// Failures of its target less answers, from 0 to [`MAX_FAILURES`].
     failures: u32,
     /// Ejections since the node last responded; a failure of its target counts as a response.
@@ -227,7 +227,7 @@
     /// The target's load.
     pub load: Option<Load>,
     /// The target's slowdown.
-    pub slowdown: Option<Pace>,
+    pub slowdown: Option<Slowdown>,
     /// The run time of the request. Without it, the response time is used, which includes
     /// the network path and the wait for a slot, and a target that gets many uploads seems
     /// slower than it is.
@@ -257,9 +257,9 @@
             heard_at: now,
             report: None,
             sent_since_report: 0,
-            slowdown: Pace::default(),
+            slowdown: Slowdown::default(),
             slowdown_at: now,
-            transfer_slowdown: Pace::default(),
+            transfer_slowdown: Slowdown::default(),
             failures: 0,
             ejections: 0,
             ejected_until: None,
@@ -287,7 +287,7 @@
     fn slowdown(&self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.slowdown_at);
         let weight = (-age.as_secs_f64() / SLOWDOWN_DECAY.as_secs_f64()).exp();
-        Pace::default().towards(self.slowdown, weight).factor()
+        Slowdown::default().lerp(self.slowdown, weight).factor()
     }
 
     fn eject(&mut self, now: Instant) {
@@ -465,7 +465,7 @@
                 let transfer = is_large.then(|| record_time(&mut self.transfer_times, route, took));
                 (record_time(&mut self.run_times, route, ran), transfer)
             }
-            _ => (Pace::default(), None),
+            _ => (Slowdown::default(), None),
         };
         let peer = self.peer(member, now);
         peer.outstanding = peer.outstanding.saturating_sub(1);
@@ -490,10 +490,9 @@
                     None => (slowdown, NEWEST_WEIGHT),
                 };
                 if let Some(transfer) = transfer_slowdown {
-                    peer.transfer_slowdown =
-                        peer.transfer_slowdown.towards(transfer, NEWEST_WEIGHT);
+                    peer.transfer_slowdown = peer.transfer_slowdown.lerp(transfer, NEWEST_WEIGHT);
                 }
-                peer.slowdown = peer.slowdown.towards(newest, weight);
+                peer.slowdown = peer.slowdown.lerp(newest, weight);
                 peer.slowdown_at = now;
                 peer.failures = peer.failures.saturating_sub(1);
                 false
@@ -576,9 +575,9 @@
 
 /// Returns the slowdown of a request that took so long, and adds its time to the mean of its
 /// route.
-fn record_time(means: &mut HashMap<Name, f64>, route: &Name, took: Duration) -> Pace {
+fn record_time(means: &mut HashMap<Name, f64>, route: &Name, took: Duration) -> Slowdown {
     let before = update_mean(means, route, took.as_secs_f64());
-    Pace::of(took, Duration::from_secs_f64(before))
+    Slowdown::from_run(took, Duration::from_secs_f64(before))
 }
 
 /// Adds a value to the moving average of its route; returns the average before, or the value
--- a/src/coordination/decision/queue.rs
+++ b/src/coordination/decision/queue.rs
@@ -15,7 +15,7 @@
 };
 
 use crate::{
-    protocol::dialect::{Load, Pace},
+    protocol::dialect::{Load, Slowdown},
     unit::Span,
 };
 
@@ -57,7 +57,7 @@
     next_sequence: u64,
     /// The mean run time, in seconds.
     mean: f64,
-    slowdown: Pace,
+    slowdown: Slowdown,
 }
 
 /// The properties of a request that decide on its admission.
@@ -115,7 +115,7 @@
             waiting: BTreeMap::new(),
             next_sequence: 0,
             mean: INITIAL_MEAN,
-            slowdown: Pace::default(),
+            slowdown: Slowdown::default(),
         }
     }
 }
@@ -132,7 +132,7 @@
     /// from now on.
     pub fn reset_run_times(&mut self) {
         self.mean = INITIAL_MEAN;
-        self.slowdown = Pace::default();
+        self.slowdown = Slowdown::default();
     }
 
     /// Returns the target's load.
@@ -145,14 +145,16 @@
     }
 
     /// Returns the target's slowdown, the ratio of run times to usual run times.
-    pub fn slowdown(&self) -> Pace {
+    pub fn slowdown(&self) -> Slowdown {
         self.slowdown
     }
 
     /// Records the run time of a request whose `usual` run time was observed by the node that
     /// sent it.
     pub fn record_run(&mut self, took: Duration, usual: Duration) {
-        self.slowdown = self.slowdown.towards(Pace::of(took, usual), NEWEST_WEIGHT);
+        self.slowdown = self
+            .slowdown
+            .lerp(Slowdown::from_run(took, usual), NEWEST_WEIGHT);
     }
 
     /// Decides on a request that arrives; `waiter` is kept if the request waits.
--- a/src/coordination/follow.rs
+++ b/src/coordination/follow.rs
@@ -21,7 +21,7 @@
     event::Event,
     protocol::{
         log::Batch,
-        wire::{Load, Reply, Scatter},
+        wire::{Payload, Reply, Scatter},
     },
     state::{
         change::{Entry, Restore},
@@ -227,13 +227,13 @@
             .look(move |machine| machine.records(before))
             .await;
         let load = match records {
-            Ok(Some(records)) => Load::Records {
+            Ok(Some(records)) => Payload::Records {
                 from: before,
                 records,
             },
             // This node no longer keeps the records since `before`. Members fetch a snapshot
             // once they learn of the version.
-            _ => Load::Count { version },
+            _ => Payload::Count { version },
         };
         let settings = &self.node.settings;
         let mut neighbours =
@@ -344,39 +344,43 @@
 ///
 /// Only if the daemon is ending.
 pub async fn take(node: &Arc<Node>, call: &Call, scatter: Scatter) -> Result<Reply, Error> {
-    let Scatter { from, load, slice } = scatter;
-    let wanted = match &load {
-        Load::Records { from, records } => Version {
+    let Scatter {
+        from,
+        payload,
+        recipients,
+    } = scatter;
+    let wanted = match &payload {
+        Payload::Records { from, records } => Version {
             epoch: from.epoch,
             offset: from.offset + records.len() as u64,
         },
-        Load::Count { version } => *version,
+        Payload::Count { version } => *version,
     };
-    let relayed = scatter::scatter(call.clone(), node.peers, load.clone(), slice);
+    let relayed = scatter::scatter(call.clone(), node.peers, payload.clone(), recipients);
     let (is_current, mut census) =
-        tokio::join!(apply_load(node, call, from, load, wanted), relayed);
+        tokio::join!(apply_load(node, call, from, payload, wanted), relayed);
     if is_current {
         census.current += 1;
     } else {
         census.behind += 1;
-        census.name(node.peers);
+        census.add_named(node.peers);
     }
     Ok(Reply::Counted(census))
 }
 
-/// Puts the records of `load` in force on this node; returns whether `wanted` is in
+/// Puts the records of `payload` in force on this node; returns whether `wanted` is in
 /// force afterwards.
 async fn apply_load(
     node: &Arc<Node>,
     call: &Call,
     from: SocketAddr,
-    load: Load,
+    payload: Payload,
     wanted: Version,
 ) -> bool {
-    if let Load::Records {
+    if let Payload::Records {
         from: base,
         records,
-    } = load
+    } = payload
     {
         let applied = node.applier.records(base, records).await;
         if applied.is_err() && node.view.load().is_some() {
--- a/src/coordination/gate.rs
+++ b/src/coordination/gate.rs
@@ -23,7 +23,7 @@
     id::Instance,
     protocol::{
         answer::Refusal,
-        dialect::{Load, Pace},
+        dialect::{Load, Slowdown},
     },
 };
 
@@ -147,7 +147,7 @@
     }
 
     /// Returns the target's slowdown, the ratio of run times to usual run times.
-    pub fn slowdown(&self) -> Pace {
+    pub fn slowdown(&self) -> Slowdown {
         self.state.lock().queue.slowdown()
     }
 
--- a/src/coordination/gossip.rs
+++ b/src/coordination/gossip.rs
@@ -24,7 +24,7 @@
 use crate::{
     coordination::{Error, catchup, interface::Call, node::Node, rank},
     id,
-    protocol::wire::{Frame, News, Reply},
+    protocol::wire::{Frame, PingBody, Reply},
     state::{
         member::{Member, Status},
         version::Version,
@@ -406,7 +406,7 @@
         true
     }
 
-    async fn ping(&self, peer: SocketAddr) -> Result<News, Error> {
+    async fn ping(&self, peer: SocketAddr) -> Result<PingBody, Error> {
         ping(&self.node, &self.call, peer).await
     }
 }
@@ -417,7 +417,7 @@
 /// # Errors
 ///
 /// If `peer` does not answer, or not with a [`Reply::Pong`].
-pub async fn ping(node: &Arc<Node>, call: &Call, peer: SocketAddr) -> Result<News, Error> {
+pub async fn ping(node: &Arc<Node>, call: &Call, peer: SocketAddr) -> Result<PingBody, Error> {
     let timeout = node.settings.membership.timeout;
     let reply = call(peer, Frame::Ping(news(node)), timeout).await?;
     let Reply::Pong(news) = reply else {
@@ -429,9 +429,9 @@
 
 /// Returns this node's version and its next member updates, for a ping or the reply to
 /// one.
-pub fn news(node: &Arc<Node>) -> News {
+pub fn news(node: &Arc<Node>) -> PingBody {
     let members = node.table.read().len();
-    News {
+    PingBody {
         node: node.settings.node.clone(),
         peers: node.peers,
         version: node.version(),
@@ -441,7 +441,7 @@
 
 /// Merges the member updates in a peer's news; catches up in the background if the peer
 /// is ahead.
-pub fn apply_news(node: &Arc<Node>, call: &Call, news: News) {
+pub fn apply_news(node: &Arc<Node>, call: &Call, news: PingBody) {
     node.absorb(news.members);
     let held = node.version();
     if news.version == held {
@@ -469,7 +469,7 @@
 ///
 /// If this node holds the sender as suspect or gone, the reply includes that record, so
 /// that the sender can refute it.
-pub fn answer(node: &Arc<Node>, call: &Call, from: News) -> Reply {
+pub fn answer(node: &Arc<Node>, call: &Call, from: PingBody) -> Reply {
     let sender = from.node.clone();
     apply_news(node, call, from);
     let mut news = news(node);
--- a/src/coordination/host.rs
+++ b/src/coordination/host.rs
@@ -38,7 +38,7 @@
     },
     id::{Name, Node},
     journal::note,
-    protocol::news::Seen,
+    protocol::update::Progress,
     state::{
         member::{Member, Table},
         routing::{self, Delta},
@@ -443,8 +443,8 @@
     }
 
     /// Returns the version and the offsets that this node has reached.
-    pub fn progress(&self) -> Seen {
-        Seen {
+    pub fn progress(&self) -> Progress {
+        Progress {
             version: self.version(),
             members: self.offset(Stream::Members).unwrap_or(0),
             routes: self.offset(Stream::Routes).unwrap_or(0),
@@ -535,7 +535,7 @@
             .send_if_modified(|current| std::mem::replace(current, is_up) != is_up);
         let result = if result.is_ok() { "ok" } else { "failed" };
         let call = metrics::Call { call, result };
-        self.metrics.store.get_or_create(&call).inc();
+        self.metrics.store_calls.get_or_create(&call).inc();
         if let Some(took) = took {
             self.metrics.store_latency.observe(took.as_secs_f64());
         }
@@ -561,16 +561,16 @@
             .iter()
             .filter(|m| self.is_unreachable(&m.node, now))
             .count();
-        self.metrics.text(&metrics::Now {
+        self.metrics.text(&metrics::Readings {
             version: self.version(),
             version_age: self
                 .in_force_since()
                 .map_or(Duration::ZERO, |since| now - since),
             load: self.gate.load(),
-            reading: *self.is_reading.borrow(),
-            lines_lost: self.journal.lost(),
+            is_reader: *self.is_reading.borrow(),
+            dropped_lines: self.journal.lost(),
             members: (members.len() - unreachable, unreachable),
-            held: self.quarantine.quarantined(now).len(),
+            quarantined: self.quarantine.quarantined(now).len(),
         })
     }
 
--- a/src/coordination/interface.rs
+++ b/src/coordination/interface.rs
@@ -14,15 +14,15 @@
         self, announce,
         dialect::Dialect,
         log::Batch,
-        news::News,
         rollout::{Order, Status},
+        update::Update,
         wire::{Frame, Reply},
     },
     state::routing,
     unit::Span,
 };
 
-pub use crate::protocol::news::Stream;
+pub use crate::protocol::update::Stream;
 
 /// A future of a result of this layer.
 pub type ResultFuture<T> = BoxFuture<'static, Result<T, Error>>;
@@ -92,8 +92,9 @@
 pub type DecodeOrder = dyn Fn(&[u8]) -> Result<Order, protocol::Error> + Send + Sync;
 
 /// Decodes a call from a target, given its method, path and body.
-pub type DecodeCall =
-    dyn Fn(&http::Method, &str, &[u8]) -> Result<announce::Message, protocol::Error> + Send + Sync;
+pub type DecodeCall = dyn Fn(&http::Method, &str, &[u8]) -> Result<announce::TargetCall, protocol::Error>
+    + Send
+    + Sync;
 
 /// Decoders for the platform's encoding, its acknowledgement and its header names.
 #[derive(Clone)]
@@ -122,11 +123,11 @@
     Routes(u64),
     /// Asks for the members that the requester lacks. The numbers are the
     /// [`marks`](crate::state::member::Table::marks) of the requester's table. The answer
-    /// is a [`Members`](crate::protocol::news::Members).
+    /// is a [`Members`](crate::protocol::update::Members).
     Members(Vec<u32>),
     /// Asks for the version and the offsets that the node has reached. The answer is a
-    /// [`Seen`](crate::protocol::news::Seen).
+    /// [`Progress`](crate::protocol::update::Progress).
     Progress,
     /// Delivers records that another node read, to apply and to relay.
-    Deliver(News),
+    Deliver(Update),
 }
--- a/src/coordination/probe.rs
+++ b/src/coordination/probe.rs
@@ -14,7 +14,7 @@
     },
     event::Event,
     journal::note,
-    protocol::news::Seen,
+    protocol::update::Progress,
     state::member::Member,
 };
 
@@ -77,7 +77,9 @@
     }
     // An answer that can't be decoded has no versions, but shows that the node is reachable.
     let answer = answer.ok();
-    if let Some(progress) = answer.and_then(|answer| rmp_serde::from_slice::<Seen>(&answer).ok()) {
+    if let Some(progress) =
+        answer.and_then(|answer| rmp_serde::from_slice::<Progress>(&answer).ok())
+    {
         host.note_newer(progress.version, progress.members, member.peers);
     }
 }
--- a/src/coordination/rollout/controller.rs
+++ b/src/coordination/rollout/controller.rs
@@ -26,7 +26,7 @@
     id::Name,
     journal::note,
     protocol::{
-        operator::{Progress, Tried},
+        operator::{Progress, TrialTarget},
         rollout::{self, State},
     },
     state::{
@@ -251,12 +251,12 @@
 }
 
 /// Returns the nodes beside targets of the new release, with their verdicts.
-fn new_targets(table: &Table, rollout: &Rollout) -> Vec<Tried> {
+fn new_targets(table: &Table, rollout: &Rollout) -> Vec<TrialTarget> {
     let offers = table.offers(&rollout.service).iter();
     let new = offers.filter_map(|member| {
         let target = member.target(&rollout.service)?;
         let is_new = target.release.as_ref() == Some(&rollout.to);
-        is_new.then(|| Tried {
+        is_new.then(|| TrialTarget {
             node: member.node.clone(),
             is_failing: target.is_failing(rollout.order),
         })
--- a/src/coordination/scatter.rs
+++ b/src/coordination/scatter.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     coordination::interface::Call,
-    protocol::wire::{Census, Frame, Load, Reply, Scatter},
+    protocol::wire::{Frame, Payload, Reply, Scatter, VersionCount},
     unit::Span,
 };
 
@@ -22,22 +22,22 @@
 /// Maximum wait per level of the tree.
 const LEVEL_TIMEOUT: Span = Span::from_millis(400);
 
-/// Sends `load` to all nodes of `slice` and returns how many of them have its version in
+/// Sends `payload` to all `recipients` and returns how many of them have its version in
 /// force.
 ///
 /// `me` is the address at which the receivers can fetch records that they lack.
 pub fn scatter(
     call: Call,
     me: SocketAddr,
-    load: Load,
-    slice: Vec<SocketAddr>,
-) -> BoxFuture<'static, Census> {
+    payload: Payload,
+    recipients: Vec<SocketAddr>,
+) -> BoxFuture<'static, VersionCount> {
     async move {
-        let parts = split(&slice, FANOUT);
+        let parts = split(&recipients, FANOUT);
         let branches = parts
             .into_iter()
-            .map(|part| send_to_part(call.clone(), me, load.clone(), part));
-        let mut census = Census::default();
+            .map(|part| send_to_part(call.clone(), me, payload.clone(), part));
+        let mut census = VersionCount::default();
         for counted in join_all(branches).await {
             census.add(counted);
         }
@@ -66,16 +66,21 @@
     Span::from_millis(LEVEL_TIMEOUT.as_millis() * levels)
 }
 
-/// Sends `load` to the first node of `part` that answers, which relays it to the nodes
+/// Sends `payload` to the first node of `part` that answers, which relays it to the nodes
 /// after it; returns the count for the whole part.
-async fn send_to_part(call: Call, me: SocketAddr, load: Load, mut part: Vec<SocketAddr>) -> Census {
-    let mut census = Census::default();
+async fn send_to_part(
+    call: Call,
+    me: SocketAddr,
+    payload: Payload,
+    mut part: Vec<SocketAddr>,
+) -> VersionCount {
+    let mut census = VersionCount::default();
     while !part.is_empty() {
         let head = part.remove(0);
         let scatter = Scatter {
             from: me,
-            load: load.clone(),
-            slice: part.clone(),
+            payload: payload.clone(),
+            recipients: part.clone(),
         };
         let max_wait = max_wait(part.len());
         let reply = tokio::time::timeout(
@@ -88,7 +93,7 @@
             return census;
         }
         census.silent += 1;
-        census.name(head);
+        census.add_named(head);
     }
     census
 }
--- a/src/coordination/source.rs
+++ b/src/coordination/source.rs
@@ -27,7 +27,7 @@
     event::Event,
     id::Name,
     journal::note,
-    protocol::news::{Load, Members, News, Seen},
+    protocol::update::{Changes, Members, Progress, Update},
     state::{
         member::Member,
         rollout::{Rollout, Stage},
@@ -263,10 +263,10 @@
     let load = apply_records(host, stream, records.records);
     host.advance_offset(stream, records.next);
     // Orders without a new version are sent with an empty delta.
-    let unchanged = || host.routes_since(host.version()).map(Load::Routes);
+    let unchanged = || host.routes_since(host.version()).map(Changes::Routes);
     let load = load.or_else(|| (!rollouts.is_empty()).then(unchanged)?);
     let Some(load) = load else { return };
-    let news = News {
+    let update = Update {
         from,
         next: records.next,
         load,
@@ -274,32 +274,32 @@
         relay: Vec::new(),
         reader: host.settings.advertised().peers,
     };
-    tokio::spawn(spread::to_domain(host.clone(), call_peer.clone(), news));
+    tokio::spawn(spread::to_domain(host.clone(), call_peer.clone(), update));
 }
 
 /// Applies records that another node read, and relays them.
-pub fn apply_news(host: &Arc<Host>, call_peer: &CallPeer, mut news: News) {
-    if !news.relay.is_empty() {
-        let relayed = News {
-            relay: std::mem::take(&mut news.relay),
-            ..news.clone()
+pub fn apply_update(host: &Arc<Host>, call_peer: &CallPeer, mut update: Update) {
+    if !update.relay.is_empty() {
+        let relayed = Update {
+            relay: std::mem::take(&mut update.relay),
+            ..update.clone()
         };
         tokio::spawn(spread::relay(call_peer.clone(), relayed));
     }
-    local::receive(host, news.rollouts, "reader");
-    let stream = news.load.stream();
-    let is_whole = match news.load {
-        Load::Routes(delta) => host.apply_routes(delta, "reader"),
-        Load::Members(records) => {
+    local::receive(host, update.rollouts, "reader");
+    let stream = update.load.stream();
+    let is_whole = match update.load {
+        Changes::Routes(delta) => host.apply_routes(delta, "reader"),
+        Changes::Members(records) => {
             apply_members(host, &records, "reader");
             // Each record is about one member, so the records before `from` must be known.
-            host.offset(stream) >= Some(news.from)
+            host.offset(stream) >= Some(update.from)
         }
     };
     if is_whole {
-        host.advance_offset(stream, news.next);
+        host.advance_offset(stream, update.next);
     } else {
-        host.note_newer(u64::MAX, news.next, news.reader);
+        host.note_newer(u64::MAX, update.next, update.reader);
     }
 }
 
@@ -363,7 +363,7 @@
         let (near, far): (Vec<_>, Vec<_>) =
             others.partition(|member| member.domain == host.settings.domain);
         // Of equally advanced peers the first in this list is chosen. First-ranked nodes come
-        // first: they have the fastest links and are the first to receive news. Nodes of
+        // first: they have the fastest links and are the first to receive updates. Nodes of
         // other failure domains come last, so that they send data only if they are ahead.
         let mut drawn = fastrand::choose_multiple(first_ranked, 1);
         drawn.extend(fastrand::choose_multiple(near, PEERS_PER_GROUP));
@@ -373,21 +373,26 @@
     let asked = peers
         .into_iter()
         .map(|peer| fetch_progress(host, call_peer, peer));
-    let seen: Vec<_> = join_all(asked).await.into_iter().flatten().collect();
-    let newest = |of: fn(&Seen) -> u64| seen.iter().rev().max_by_key(|(_, seen)| of(seen));
-    if let Some((peer, seen)) = newest(|seen| seen.version) {
-        fetch_routes(host, call_peer, *peer, seen).await;
+    let progress: Vec<_> = join_all(asked).await.into_iter().flatten().collect();
+    let newest = |of: fn(&Progress) -> u64| {
+        progress
+            .iter()
+            .rev()
+            .max_by_key(|(_, progress)| of(progress))
+    };
+    if let Some((peer, progress)) = newest(|progress| progress.version) {
+        fetch_routes(host, call_peer, *peer, progress).await;
     }
-    if let Some((peer, seen)) = newest(|seen| seen.members) {
-        fetch_members(host, call_peer, *peer, seen).await;
+    if let Some((peer, progress)) = newest(|progress| progress.members) {
+        fetch_members(host, call_peer, *peer, progress).await;
     }
 }
 
 /// Fetches from a peer what is newer than the state of this node.
 async fn sync_with_peer(host: &Arc<Host>, call_peer: &CallPeer, peer: SocketAddr) {
-    if let Some((_, seen)) = fetch_progress(host, call_peer, peer).await {
-        fetch_routes(host, call_peer, peer, &seen).await;
-        fetch_members(host, call_peer, peer, &seen).await;
+    if let Some((_, progress)) = fetch_progress(host, call_peer, peer).await {
+        fetch_routes(host, call_peer, peer, &progress).await;
+        fetch_members(host, call_peer, peer, &progress).await;
     }
 }
 
@@ -399,26 +404,26 @@
     host: &Host,
     call_peer: &CallPeer,
     peer: SocketAddr,
-) -> Option<(SocketAddr, Seen)> {
+) -> Option<(SocketAddr, Progress)> {
     let answer = call_peer(peer, PeerRequest::Progress).await.ok()?;
     Some((peer, decode(host, &answer, "news", "peer")?))
 }
 
-async fn fetch_routes(host: &Host, call_peer: &CallPeer, peer: SocketAddr, seen: &Seen) {
-    if seen.version > host.version()
+async fn fetch_routes(host: &Host, call_peer: &CallPeer, peer: SocketAddr, progress: &Progress) {
+    if progress.version > host.version()
         && let Ok(answer) = call_peer(peer, PeerRequest::Routes(host.version())).await
     {
         apply_routes_answer(host, &answer);
         // The peer reported this offset before it sent its version, so the version includes
         // every record up to the offset.
-        if host.version() >= seen.version && seen.routes > 0 {
-            host.advance_offset(Stream::Routes, seen.routes);
+        if host.version() >= progress.version && progress.routes > 0 {
+            host.advance_offset(Stream::Routes, progress.routes);
         }
     }
 }
 
-async fn fetch_members(host: &Host, call_peer: &CallPeer, peer: SocketAddr, seen: &Seen) {
-    if Some(seen.members) <= host.offset(Stream::Members) {
+async fn fetch_members(host: &Host, call_peer: &CallPeer, peer: SocketAddr, progress: &Progress) {
+    if Some(progress.members) <= host.offset(Stream::Members) {
         return;
     }
     let marks = host.members.read().marks().to_vec();
@@ -465,18 +470,18 @@
 }
 
 /// Applies records from the store; returns what to send to other nodes.
-fn apply_records(host: &Host, stream: Stream, records: Vec<Bytes>) -> Option<Load> {
+fn apply_records(host: &Host, stream: Stream, records: Vec<Bytes>) -> Option<Changes> {
     match stream {
         // Only the newest version counts; the ones in between were never in force here. If
         // the newest can't be decoded, the one before it is used.
         Stream::Routes => {
             let mut newest = records.iter().rev();
             let usable = newest.find_map(|record| host.apply_record(record, "store").ok());
-            usable.flatten().map(Load::Routes)
+            usable.flatten().map(Changes::Routes)
         }
         Stream::Members => {
             apply_members(host, &records, "store");
-            (!records.is_empty()).then_some(Load::Members(records))
+            (!records.is_empty()).then_some(Changes::Members(records))
         }
     }
 }
--- a/src/coordination/spread.rs
+++ b/src/coordination/spread.rs
@@ -19,16 +19,16 @@
     },
     event::Event,
     journal::note,
-    protocol::news::News,
+    protocol::update::Update,
 };
 
 /// Children of a node in the tree. The changes of a version take a few KB. A complete version
 /// of 650 routes takes 80 KB; a link of 10 Mbit/s transfers three copies of it in 0.2 s.
 const FANOUT: usize = 3;
 
-/// Sends `news` to the other nodes of this failure domain.
-pub async fn to_domain(host: Arc<Host>, call_peer: CallPeer, mut news: News) {
-    news.relay = {
+/// Sends `update` to the other nodes of this failure domain.
+pub async fn to_domain(host: Arc<Host>, call_peer: CallPeer, mut update: Update) {
+    update.relay = {
         let members = host.members.read();
         let settings = &host.settings;
         let others = members.iter().filter(|member| {
@@ -36,43 +36,43 @@
         });
         others.map(|member| member.peers).collect()
     };
-    let nodes = news.relay.len();
-    let missed = relay(call_peer, news.clone()).await;
+    let nodes = update.relay.len();
+    let missed = relay(call_peer, update.clone()).await;
     note!(
         host.journal,
         Event::Spread,
-        stream = format_args!("{:?}", news.load.stream()),
-        from = news.from,
-        next = news.next,
+        stream = format_args!("{:?}", update.load.stream()),
+        from = update.from,
+        next = update.next,
         nodes = nodes,
         missed = missed
     );
 }
 
-/// Sends `news` to the nodes in its `relay` list, each child passing it on to its part.
+/// Sends `update` to the nodes in its `relay` list, each child passing it on to its part.
 /// Returns how many nodes did not answer when they were asked to be a child.
-pub fn relay(call_peer: CallPeer, news: News) -> BoxFuture<'static, usize> {
+pub fn relay(call_peer: CallPeer, update: Update) -> BoxFuture<'static, usize> {
     async move {
-        let parts = scatter::split(&news.relay, FANOUT);
+        let parts = scatter::split(&update.relay, FANOUT);
         let branches = parts
             .into_iter()
-            .map(|part| send_branch(call_peer.clone(), news.clone(), part));
+            .map(|part| send_branch(call_peer.clone(), update.clone(), part));
         join_all(branches).await.into_iter().sum()
     }
     .boxed()
 }
 
-/// Sends `news` to the first node of `part` that answers, for it to pass on to the nodes after
+/// Sends `update` to the first node of `part` that answers, for it to pass on to the nodes after
 /// it. Returns how many nodes did not answer.
-async fn send_branch(call_peer: CallPeer, news: News, mut part: Vec<SocketAddr>) -> usize {
+async fn send_branch(call_peer: CallPeer, update: Update, mut part: Vec<SocketAddr>) -> usize {
     let mut missed = 0;
     while !part.is_empty() {
         let child = part.remove(0);
-        let news = News {
+        let update = Update {
             relay: part.clone(),
-            ..news.clone()
+            ..update.clone()
         };
-        if call_peer(child, PeerRequest::Deliver(news)).await.is_ok() {
+        if call_peer(child, PeerRequest::Deliver(update)).await.is_ok() {
             return missed;
         }
         missed += 1;
--- a/src/coordination/watch.rs
+++ b/src/coordination/watch.rs
@@ -26,7 +26,7 @@
     event::Event,
     id::Node,
     journal::note,
-    protocol::news::Seen,
+    protocol::update::Progress,
     state::member::Member,
 };
 
@@ -76,9 +76,9 @@
             .iter()
             .map(|member| compare(host, call_peer, member));
         let nearest = join_all(answers).await.into_iter().flatten().next();
-        if let Some(seen) = nearest {
+        if let Some(progress) = nearest {
             // If the predecessor is a reader that can't read the store, this node reads, too.
-            host.set_reading((1..MAX_READERS).contains(&seen.blind), seen.blind);
+            host.set_reading((1..MAX_READERS).contains(&progress.blind), progress.blind);
             return;
         }
         // Many nodes are dead, or this node is partitioned. Asked one by one, the nodes of its
@@ -89,15 +89,15 @@
 
 /// Asks a member for its versions and offsets, and compares them with this node's. A member
 /// that doesn't answer is left out of the ranking for a while.
-async fn compare(host: &Host, call_peer: &CallPeer, member: &Member) -> Option<Seen> {
+async fn compare(host: &Host, call_peer: &CallPeer, member: &Member) -> Option<Progress> {
     let answer = call_peer(member.peers, PeerRequest::Progress).await;
-    let seen = answer
+    let progress = answer
         .ok()
-        .and_then(|answer| rmp_serde::from_slice::<Seen>(&answer).ok());
-    match seen {
-        Some(seen) => {
-            host.note_newer(seen.version, seen.members, member.peers);
-            Some(seen)
+        .and_then(|answer| rmp_serde::from_slice::<Progress>(&answer).ok());
+    match progress {
+        Some(progress) => {
+            host.note_newer(progress.version, progress.members, member.peers);
+            Some(progress)
         }
         None => {
             host.note_unreachable(&member.node, Instant::now() + SKIP_TIME);
--- a/src/host/metrics.rs
+++ b/src/host/metrics.rs
@@ -32,11 +32,11 @@
     /// Seconds from a request's arrival to its response, by outcome.
     pub latency: Family<Outcome, Histogram, fn() -> Histogram>,
     /// Attempts at targets, by service and result.
-    pub tries: Family<Try, Counter<u64, AtomicU64>>,
+    pub attempts: Family<Attempt, Counter<u64, AtomicU64>>,
     /// Retries that were refused because the retry budget was used up, by service.
-    pub unallowed: Family<Service, Counter<u64, AtomicU64>>,
+    pub rejected_retries: Family<Service, Counter<u64, AtomicU64>>,
     /// Calls to the store by kind and result.
-    pub store: Family<Call, Counter<u64, AtomicU64>>,
+    pub store_calls: Family<Call, Counter<u64, AtomicU64>>,
     /// Seconds that calls to the store took, without calls that may wait at the store for new
     /// records.
     pub store_latency: Histogram,
@@ -62,7 +62,7 @@
 
 /// The state of a process when metrics are collected.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Now {
+pub struct Readings {
     /// The version of the routes in force.
     pub version: u64,
     /// How long that version has been in force.
@@ -70,13 +70,13 @@
     /// The utilization of the target on this host.
     pub load: crate::protocol::dialect::Load,
     /// Whether the node reads the store for its failure domain.
-    pub reading: bool,
+    pub is_reader: bool,
     /// Log lines that were dropped.
-    pub lines_lost: u64,
+    pub dropped_lines: u64,
     /// The numbers of members that answered the last check, and that did not.
     pub members: (usize, usize),
     /// Quarantined requests, under which targets crashed.
-    pub held: usize,
+    pub quarantined: usize,
 }
 
 /// The labels of [`Metrics::requests`].
@@ -97,23 +97,23 @@
     pub outcome: String,
 }
 
-/// The labels of [`Metrics::tries`].
+/// The labels of [`Metrics::attempts`].
 #[derive(Clone, Debug, Eq, Hash, PartialEq, EncodeLabelSet)]
-pub struct Try {
+pub struct Attempt {
     /// The service.
     pub service: String,
     /// The result of the attempt.
     pub end: &'static str,
 }
 
-/// The labels of [`Metrics::unallowed`].
+/// The labels of [`Metrics::rejected_retries`].
 #[derive(Clone, Debug, Eq, Hash, PartialEq, EncodeLabelSet)]
 pub struct Service {
     /// The service.
     pub service: String,
 }
 
-/// The labels of [`Metrics::store`].
+/// The labels of [`Metrics::store_calls`].
 #[derive(Clone, Debug, Eq, Hash, PartialEq, EncodeLabelSet)]
 pub struct Call {
     /// `newest`, `tail` or `put`.
@@ -153,9 +153,9 @@
             registry: Mutex::new(Registry::with_prefix("rilltrack")),
             requests: Family::default(),
             latency: Family::new_with_constructor(histogram),
-            tries: Family::default(),
-            unallowed: Family::default(),
-            store: Family::default(),
+            attempts: Family::default(),
+            rejected_retries: Family::default(),
+            store_calls: Family::default(),
             store_latency: histogram(),
             unusable: Family::default(),
             members: Family::default(),
@@ -177,14 +177,18 @@
         registry.register(
             "tries",
             "Tries at a target by how they ended",
-            self.tries.clone(),
+            self.attempts.clone(),
         );
         registry.register(
             "unallowed",
             "Further sends refused for want of allowance",
-            self.unallowed.clone(),
+            self.rejected_retries.clone(),
+        );
+        registry.register(
+            "store_calls",
+            "Calls to the store",
+            self.store_calls.clone(),
         );
-        registry.register("store_calls", "Calls to the store", self.store.clone());
         registry.register(
             "store_seconds",
             "Time of calls to the store, without their wait",
@@ -240,16 +244,16 @@
     }
 
     /// Returns the metrics in the OpenMetrics text format.
-    pub fn text(&self, now: &Now) -> String {
+    pub fn text(&self, now: &Readings) -> String {
         let gauges = &self.gauges;
         gauges.version.set(now.version as i64);
         gauges.version_age.set(now.version_age.as_secs() as i64);
         gauges.running.set(i64::from(now.load.running));
         gauges.waiting.set(i64::from(now.load.waiting));
         gauges.slots.set(i64::from(now.load.slots));
-        gauges.is_reader.set(i64::from(now.reading));
-        gauges.quarantined.set(now.held as i64);
-        gauges.dropped_lines.set(now.lines_lost as i64);
+        gauges.is_reader.set(i64::from(now.is_reader));
+        gauges.quarantined.set(now.quarantined as i64);
+        gauges.dropped_lines.set(now.dropped_lines as i64);
         let (present, silent) = now.members;
         for (state, count) in [("present", present), ("silent", silent)] {
             self.members
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -15,7 +15,7 @@
 
 use tokio::sync::watch;
 
-pub use self::settings::{Advertise, Exposure, Listen, Resend, Settings};
+pub use self::settings::{Advertise, Exposure, Listen, RetryLimit, Settings};
 use crate::{
     coordination::{
         host,
@@ -151,7 +151,7 @@
     }
 
     /// Logs that new settings could not be read; the current ones stay in force.
-    pub fn refuse_reload(&self, faults: &str) {
+    pub fn log_failed_reload(&self, faults: &str) {
         note!(self.host.journal, Event::Reloaded, refused = faults);
     }
 
--- a/src/host/settings.rs
+++ b/src/host/settings.rs
@@ -37,7 +37,7 @@
     /// The grace period: the most time that a shutdown may take, from the signal to the exit.
     pub grace: Span,
     /// The limit on retries by the fleet.
-    pub resend: Resend,
+    pub resend: RetryLimit,
     /// The bandwidth of the host's link in Mbit/s; 0 if unknown.
     #[serde(default)]
     pub bandwidth: f64,
@@ -89,7 +89,7 @@
 /// The limit on retries by the fleet, for each service within any window.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Resend {
+pub struct RetryLimit {
     /// The maximum ratio of retries to requests.
     pub ratio: f64,
     /// The number of retries allowed in addition to the ratio.
@@ -214,7 +214,7 @@
     }
     fields! {
         "node": Node, "domain": Name, "service": Name, "listen": Listen,
-        "store": SocketAddr, "heartbeat": Span, "grace": Span, "resend": Resend,
+        "store": SocketAddr, "heartbeat": Span, "grace": Span, "resend": RetryLimit,
         "descriptors": usize,
     }
     faults
--- a/src/protocol/announce.rs
+++ b/src/protocol/announce.rs
@@ -58,7 +58,7 @@
 
 /// A call of a target to the node on its host.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Message {
+pub enum TargetCall {
     /// The target is running.
     Heartbeat(Heartbeat),
     /// The instance has terminated or is about to.
--- a/src/protocol/answer.rs
+++ b/src/protocol/answer.rs
@@ -31,7 +31,7 @@
 pub const CLASS: &str = "rilltrack-class";
 /// From an outbound proxy: an earlier attempt of the request may have run, or still
 /// runs at another node.
-pub const AGAIN: &str = "rilltrack-again";
+pub const REPEAT: &str = "rilltrack-again";
 /// From an inbound proxy: running plus waiting requests, divided by slots, in
 /// hundredths.
 pub const LOAD: &str = "rilltrack-load";
--- a/src/protocol/dialect.rs
+++ b/src/protocol/dialect.rs
@@ -12,13 +12,13 @@
 pub struct Dialect {
     /// The id of one attempt of a caller. Targets echo it, so that a late response to
     /// another request can be told apart.
-    pub id: HeaderName,
+    pub attempt_id: HeaderName,
     /// Milliseconds that the sender waits for the response.
     pub deadline: HeaderName,
     /// The expected instance of the target; any other instance refuses the request.
-    pub expect: HeaderName,
+    pub expected_instance: HeaderName,
     /// The service on whose host the request began.
-    pub caller: HeaderName,
+    pub caller_service: HeaderName,
     /// A target's proof that it produced the response.
     pub proof: HeaderName,
     /// On a target's response: the request has not run.
@@ -32,10 +32,10 @@
     /// Returns the product's own names.
     fn default() -> Self {
         Self {
-            id: HeaderName::from_static("rilltrack-request"),
+            attempt_id: HeaderName::from_static("rilltrack-request"),
             deadline: HeaderName::from_static(super::answer::DEADLINE),
-            expect: HeaderName::from_static("rilltrack-target"),
-            caller: HeaderName::from_static("rilltrack-caller"),
+            expected_instance: HeaderName::from_static("rilltrack-target"),
+            caller_service: HeaderName::from_static("rilltrack-caller"),
             proof: HeaderName::from_static("rilltrack-proof"),
             not_run: HeaderName::from_static("rilltrack-not-run"),
             load: HeaderName::from_static(super::answer::LOAD),
@@ -47,15 +47,15 @@
 ///
 /// 1 is the usual run time, 2 twice as long. Always finite and above zero.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
-pub struct Pace(f64);
+pub struct Slowdown(f64);
 
-impl Pace {
+impl Slowdown {
     /// The bounds of one request's slowdown, so that a single outlier doesn't dominate a
     /// mean.
     const FACTOR_BOUNDS: (f64, f64) = (0.2, 8.0);
 
     /// Returns the slowdown of one request that took `took` instead of `usual`.
-    pub fn of(took: Duration, usual: Duration) -> Self {
+    pub fn from_run(took: Duration, usual: Duration) -> Self {
         let usual = usual.as_secs_f64().max(1e-4);
         let (min, max) = Self::FACTOR_BOUNDS;
         Self((took.as_secs_f64() / usual).clamp(min, max))
@@ -63,7 +63,7 @@
 
     /// Returns the weighted mean of this slowdown and `other`, where `weight` is the
     /// share of `other`, from 0 to 1.
-    pub fn towards(self, other: Self, weight: f64) -> Self {
+    pub fn lerp(self, other: Self, weight: f64) -> Self {
         Self(self.0 + weight * (other.0 - self.0))
     }
 
@@ -73,14 +73,14 @@
     }
 }
 
-impl Default for Pace {
+impl Default for Slowdown {
     /// Returns the slowdown of a target with its usual run time.
     fn default() -> Self {
         Self(1.0)
     }
 }
 
-impl std::fmt::Display for Pace {
+impl std::fmt::Display for Slowdown {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{:.2}", self.0)
     }
@@ -89,17 +89,17 @@
 /// A text that is not a slowdown.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("`{0}` is not a slowdown: expected a number above zero")]
-pub struct PaceError(String);
+pub struct SlowdownError(String);
 
-impl std::str::FromStr for Pace {
-    type Err = PaceError;
+impl std::str::FromStr for Slowdown {
+    type Err = SlowdownError;
 
-    fn from_str(text: &str) -> Result<Self, PaceError> {
+    fn from_str(text: &str) -> Result<Self, SlowdownError> {
         let factor = text
             .parse()
             .ok()
             .filter(|factor: &f64| factor.is_finite() && *factor > 0.0);
-        let factor = factor.ok_or_else(|| PaceError(text.into()))?;
+        let factor = factor.ok_or_else(|| SlowdownError(text.into()))?;
         let (min, max) = Self::FACTOR_BOUNDS;
         Ok(Self(factor.clamp(min, max)))
     }
--- a/src/protocol/hop.rs
+++ b/src/protocol/hop.rs
@@ -5,11 +5,11 @@
 //! between failure domains, where traffic is billed.
 //!
 //! ```
-//! use rilltrack::protocol::hop::{Ask, Told};
+//! use rilltrack::protocol::hop;
 //!
-//! let request: Ask = "n-7;ledger;1;300;1200;2500;340;0;4;1".parse()?;
-//! assert_eq!((request.to.as_str(), request.usual.unwrap().as_millis()), ("n-7", 340));
-//! let response: Told = "not-run;0;83/152;12,3,12;0.85;;250;target is full".parse()?;
+//! let request: hop::Request = "n-7;ledger;1;300;1200;2500;340;0;4;1".parse()?;
+//! assert_eq!((request.to.as_str(), request.usual_run_time.unwrap().as_millis()), ("n-7", 340));
+//! let response: hop::Reply = "not-run;0;83/152;12,3,12;0.85;;250;target is full".parse()?;
 //! assert_eq!((response.version, response.reason.as_str()), (83, "target is full"));
 //! # Ok::<(), rilltrack::protocol::hop::Error>(())
 //! ```
@@ -20,7 +20,7 @@
     id::{Name, Node},
     protocol::{
         answer::Outcome,
-        dialect::{Load, Pace},
+        dialect::{Load, Slowdown},
     },
     unit::Span,
 };
@@ -30,7 +30,7 @@
 
 /// The header's value on a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Ask {
+pub struct Request {
     /// The receiving node. Its address may have been taken over by another node.
     pub to: Node,
     /// The service whose target runs the request.
@@ -38,39 +38,39 @@
     /// The priority of the request under overload; 0 is the highest.
     pub priority: u8,
     /// The maximum wait for a slot at the target.
-    pub patience: Span,
+    pub max_wait: Span,
     /// The time left until the deadline of the objective; zero if it has passed.
-    pub due: Span,
+    pub due_in: Span,
     /// The time left until the request's deadline.
     pub deadline: Span,
     /// The usual run time of such requests at targets, if the sender knows it.
-    pub usual: Option<Span>,
+    pub usual_run_time: Option<Span>,
     /// The usual size of the response in bytes if it is large; otherwise 0.
-    pub answer: usize,
+    pub usual_answer_size: usize,
     /// Bad responses per 1,000 that the sender observed on the request's route from the
     /// serving release.
-    pub faults: u16,
+    pub fault_permille: u16,
     /// Whether a target has already seen the request.
-    pub is_again: bool,
+    pub is_repeat: bool,
 }
 
 /// The header's value on a response or a refusal.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct Reply {
     /// Whether the request ran.
     pub outcome: Outcome,
     /// Whether the request reached the target itself.
-    pub arrived: bool,
+    pub has_arrived: bool,
     /// The version of the routes in force at the responding node.
     pub version: u64,
     /// The offset up to which the responding node knows the members.
-    pub members: u64,
+    pub members_offset: u64,
     /// The utilization of the node's target.
     pub load: Load,
     /// The slowdown of the node's target.
-    pub pace: Pace,
+    pub slowdown: Slowdown,
     /// The run time of the request at the target, if it ran.
-    pub ran: Option<Span>,
+    pub run_time: Option<Span>,
     /// The time after which a retry may succeed, if any.
     pub retry_after: Option<Span>,
     /// The reason of a refusal; empty for any other response.
@@ -85,28 +85,28 @@
     text: String,
 }
 
-impl fmt::Display for Ask {
+impl fmt::Display for Request {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self { to, service, .. } = self;
-        let [patience, due, deadline] =
-            [self.patience, self.due, self.deadline].map(Span::as_millis);
+        let [max_wait, due, deadline] =
+            [self.max_wait, self.due_in, self.deadline].map(Span::as_millis);
         write!(
             f,
-            "{to};{service};{};{patience};{due};{deadline};",
+            "{to};{service};{};{max_wait};{due};{deadline};",
             self.priority
         )?;
-        write_millis(f, self.usual)?;
+        write_millis(f, self.usual_run_time)?;
         write!(
             f,
             ";{};{};{}",
-            self.answer,
-            self.faults,
-            u8::from(self.is_again)
+            self.usual_answer_size,
+            self.fault_permille,
+            u8::from(self.is_repeat)
         )
     }
 }
 
-impl FromStr for Ask {
+impl FromStr for Request {
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
@@ -119,13 +119,13 @@
             to,
             service,
             priority,
-            patience,
+            max_wait,
             due,
             deadline,
             usual,
             answer,
             faults,
-            is_again,
+            is_repeat,
         ] = fields[..]
         else {
             return Err(error());
@@ -135,37 +135,40 @@
             to: to.parse().map_err(|_| error())?,
             service: service.parse().map_err(|_| error())?,
             priority: priority.parse().map_err(|_| error())?,
-            patience: span(patience)?,
-            due: span(due)?,
+            max_wait: span(max_wait)?,
+            due_in: span(due)?,
             deadline: span(deadline)?,
-            usual: parse_millis(usual).ok_or_else(error)?,
-            answer: answer.parse().map_err(|_| error())?,
-            faults: faults.parse().map_err(|_| error())?,
-            is_again: parse_flag(is_again).ok_or_else(error)?,
+            usual_run_time: parse_millis(usual).ok_or_else(error)?,
+            usual_answer_size: answer.parse().map_err(|_| error())?,
+            fault_permille: faults.parse().map_err(|_| error())?,
+            is_repeat: parse_flag(is_repeat).ok_or_else(error)?,
         })
     }
 }
 
-impl fmt::Display for Told {
+impl fmt::Display for Reply {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self {
             outcome,
             version,
-            members,
+            members_offset: members,
             load,
-            pace,
+            slowdown,
             ..
         } = self;
-        let arrived = u8::from(self.arrived);
-        write!(f, "{outcome};{arrived};{version}/{members};{load};{pace};")?;
-        write_millis(f, self.ran)?;
+        let arrived = u8::from(self.has_arrived);
+        write!(
+            f,
+            "{outcome};{arrived};{version}/{members};{load};{slowdown};"
+        )?;
+        write_millis(f, self.run_time)?;
         f.write_str(";")?;
         write_millis(f, self.retry_after)?;
         write!(f, ";{}", self.reason)
     }
 }
 
-impl FromStr for Told {
+impl FromStr for Reply {
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
@@ -180,7 +183,7 @@
             arrived,
             progress,
             load,
-            pace,
+            slowdown,
             ran,
             retry_after,
             reason,
@@ -191,12 +194,12 @@
         let (version, members) = progress.split_once('/').ok_or_else(error)?;
         Ok(Self {
             outcome: outcome.parse().map_err(|_| error())?,
-            arrived: parse_flag(arrived).ok_or_else(error)?,
+            has_arrived: parse_flag(arrived).ok_or_else(error)?,
             version: version.parse().map_err(|_| error())?,
-            members: members.parse().map_err(|_| error())?,
+            members_offset: members.parse().map_err(|_| error())?,
             load: load.parse().map_err(|_| error())?,
-            pace: pace.parse().map_err(|_| error())?,
-            ran: parse_millis(ran).ok_or_else(error)?,
+            slowdown: slowdown.parse().map_err(|_| error())?,
+            run_time: parse_millis(ran).ok_or_else(error)?,
             retry_after: parse_millis(retry_after).ok_or_else(error)?,
             reason: reason.into(),
         })
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! * [`wire`]: requests and replies between nodes, as MessagePack;
 //! * [`log`]: records of the platform's log;
-//! * [`news`]: updates of the store's streams, between host processes;
+//! * [`update`]: updates of the store's streams, between host processes;
 //! * [`hop`]: the request and response header between two nodes;
 //! * [`answer`]: the headers and outcomes that callers see;
 //! * [`operator`]: messages of the command-line tool;
@@ -15,9 +15,9 @@
 pub mod dialect;
 pub mod hop;
 pub mod log;
-pub mod news;
 pub mod operator;
 pub mod rollout;
+pub mod update;
 pub mod wire;
 
 /// A message that can't be decoded.
--- a/src/protocol/operator.rs
+++ b/src/protocol/operator.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     id::{self, Incarnation, Name, Node},
-    protocol::wire::Census,
+    protocol::wire::VersionCount,
     state::{
         change::{Anchor, Change},
         check::{Held, Problem},
@@ -45,12 +45,12 @@
     /// failure domain.
     pub decides: bool,
     /// The targets of the new release.
-    pub targets: Vec<Tried>,
+    pub targets: Vec<TrialTarget>,
 }
 
 /// A target of the new release in a roll-out.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Tried {
+pub struct TrialTarget {
     /// The node on the target's host.
     pub node: Node,
     /// Whether the target is failing; `None` if not known yet.
@@ -77,12 +77,12 @@
     /// The fault that keeps the node from reading the log, if any.
     pub trouble: Option<String>,
     /// All members that the node knows.
-    pub members: Vec<Row>,
+    pub members: Vec<MemberStatus>,
 }
 
 /// One member in a [`Report`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Row {
+pub struct MemberStatus {
     /// The node.
     pub node: Node,
     /// Its failure domain.
@@ -116,7 +116,7 @@
     /// The requested version.
     pub version: Version,
     /// The number of nodes that have the version in force.
-    pub census: Census,
+    pub census: VersionCount,
     /// The names of some nodes that don't have the version in force.
     pub lagging: Vec<Node>,
 }
@@ -156,12 +156,12 @@
     /// The matching route and its service, if any.
     pub route: Option<(Name, Name)>,
     /// The targets of the service, each with the reason why it would be used or not.
-    pub targets: Vec<Judgement>,
+    pub targets: Vec<TargetExplanation>,
 }
 
 /// One target in an [`Explanation`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Judgement {
+pub struct TargetExplanation {
     /// The node on the target's host.
     pub node: Node,
     /// Its failure domain.
@@ -187,7 +187,7 @@
 }
 
 /// Returns a change of the command-line tool, ready to be sent.
-pub fn change(
+pub fn new_change(
     id: id::Change,
     base: Anchor,
     expect: Option<Version>,
@@ -206,7 +206,7 @@
 }
 
 /// Parses a label of the form `key=value`; returns `None` if the key is missing.
-pub fn label(text: &str) -> Option<(String, String)> {
+pub fn parse_label(text: &str) -> Option<(String, String)> {
     let (key, value) = text.split_once('=')?;
     (!key.is_empty()).then(|| (key.to_owned(), value.to_owned()))
 }
@@ -216,9 +216,9 @@
 /// # Errors
 ///
 /// The first text that is not `key=value`.
-pub fn labels(texts: &[String]) -> Result<Labels, String> {
+pub fn parse_labels(texts: &[String]) -> Result<Labels, String> {
     texts
         .iter()
-        .map(|text| label(text).ok_or_else(|| text.clone()))
+        .map(|text| parse_label(text).ok_or_else(|| text.clone()))
         .collect()
 }
--- a/src/protocol/news.rs
+++ b/src/protocol/update.rs
@@ -9,13 +9,13 @@
 
 /// Records of a stream, forwarded by the node that read them from the store.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct Update {
     /// The offset of the first record.
     pub from: u64,
     /// The offset after the last record.
     pub next: u64,
     /// The content of the records.
-    pub load: Load,
+    pub load: Changes,
     /// Orders for roll-outs among the records.
     #[serde(default)]
     pub rollouts: Vec<Rollout>,
@@ -27,14 +27,14 @@
 
 /// The content of records.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub enum Load {
+pub enum Changes {
     /// A version of the routes, as the difference from the version before it.
     Routes(Delta),
     /// Records of members, unmodified.
     Members(Vec<Bytes>),
 }
 
-impl Load {
+impl Changes {
     /// Returns the stream to which the records belong.
     pub fn stream(&self) -> Stream {
         match self {
@@ -55,7 +55,7 @@
 
 /// A node's progress in the streams of the store.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct Progress {
     /// The version of the routes in force; 0 if there is none.
     pub version: u64,
     /// The offset up to which the node knows the members.
--- a/src/protocol/wire.rs
+++ b/src/protocol/wire.rs
@@ -22,16 +22,16 @@
 pub const MAX_FRAME: usize = 16 << 20;
 
 /// The size in bytes from which a reply counts as large and needs a permit to be sent.
-pub const LARGE: usize = 32 << 10;
+pub const LARGE_REPLY_BYTES: usize = 32 << 10;
 
-/// The most nodes named in one [`Census`]; further nodes are only counted.
-pub const MAX_NAMED: usize = 16;
+/// The most nodes named in one [`VersionCount`]; further nodes are only counted.
+pub const MAX_NAMED_NODES: usize = 16;
 
 /// A request of one node to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
     /// A liveness probe, with the sender's updates.
-    Ping(News),
+    Ping(PingBody),
     /// An indirect probe: the receiver pings this third node, which the sender can't reach.
     PingFor(SocketAddr),
     /// The sender's table of members, as one digest per bucket.
@@ -40,14 +40,14 @@
     Tell(Vec<Member>),
     /// A request for the configuration records after this version.
     Fetch(Version),
-    /// A message that the receiver applies, forwards to the nodes of its slice and answers
+    /// A message that the receiver applies, forwards to its recipients and answers
     /// for all of them.
     Scatter(Scatter),
 }
 
 /// The content of a ping and of its reply.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct PingBody {
     /// The sender.
     pub node: Node,
     /// The address at which the sender receives frames.
@@ -60,22 +60,24 @@
 
 /// A message for many nodes, forwarded down a tree.
 ///
-/// Each receiver splits its slice among its children, so nodes need not agree on the
-/// members of the tree. If a child does not answer, its parent gives the child's slice
-/// to the next node in that slice.
+/// Each receiver splits its recipients among its children, so nodes need not agree on the
+/// members of the tree. If a child does not answer, its parent gives the child's recipients
+/// to the next of them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Scatter {
     /// The forwarding node, from which the receiver requests missing records.
     pub from: SocketAddr,
     /// The content.
-    pub load: Load,
+    #[serde(rename = "load")]
+    pub payload: Payload,
     /// The nodes, besides itself, for which the receiver answers.
-    pub slice: Vec<SocketAddr>,
+    #[serde(rename = "slice")]
+    pub recipients: Vec<SocketAddr>,
 }
 
 /// The content of a [`Scatter`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Load {
+pub enum Payload {
     /// Records of the configuration stream that follow the version `from`.
     Records {
         /// The version before the first record.
@@ -92,30 +94,30 @@
 
 /// The number of nodes that have a version in force.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Census {
+pub struct VersionCount {
     /// Nodes that have the version in force.
     pub current: u32,
     /// Nodes that answered and don't have the version yet.
     pub behind: u32,
     /// Nodes that did not answer.
     pub silent: u32,
-    /// Some of the nodes counted in `behind` or `silent`, at most [`MAX_NAMED`].
+    /// Some of the nodes counted in `behind` or `silent`, at most [`MAX_NAMED_NODES`].
     pub named: Vec<SocketAddr>,
 }
 
-impl Census {
+impl VersionCount {
     /// Adds another count to this one.
     pub fn add(&mut self, other: Self) {
         self.current += other.current;
         self.behind += other.behind;
         self.silent += other.silent;
-        let remaining = MAX_NAMED.saturating_sub(self.named.len());
+        let remaining = MAX_NAMED_NODES.saturating_sub(self.named.len());
         self.named.extend(other.named.into_iter().take(remaining));
     }
 
-    /// Adds the address of a node that is not current, up to [`MAX_NAMED`].
-    pub fn name(&mut self, node: SocketAddr) {
-        if self.named.len() < MAX_NAMED {
+    /// Adds the address of a node that is not current, up to [`MAX_NAMED_NODES`].
+    pub fn add_named(&mut self, node: SocketAddr) {
+        if self.named.len() < MAX_NAMED_NODES {
             self.named.push(node);
         }
     }
@@ -130,7 +132,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
     /// To [`Frame::Ping`]: the answering node's updates.
-    Pong(News),
+    Pong(PingBody),
     /// To [`Frame::PingFor`]: whether the third node answered the ping.
     Reached(bool),
     /// To [`Frame::Sync`]: the answering node's digests, and its members in the buckets
@@ -152,8 +154,8 @@
     /// To any frame: the node is overloaded or its view is not complete yet; retry after
     /// this time.
     Later(Span),
-    /// To [`Frame::Scatter`]: the count over the receiver and its slice.
-    Counted(Census),
+    /// To [`Frame::Scatter`]: the count over the receiver and its recipients.
+    Counted(VersionCount),
 }
 
 /// Returns the encoded message.
--- a/src/tool/mod.rs
+++ b/src/tool/mod.rs
@@ -401,14 +401,14 @@
         return Ok(Code::Accepted);
     }
     let id = job.id.unwrap_or_else(new_id);
-    let change = operator::change(id, held.anchor, job.expect, &author(), &job.note, ops);
+    let change = operator::new_change(id, held.anchor, job.expect, &author(), &job.note, ops);
     settle(desk, &change, Some(&files), job.wait).await
 }
 
 async fn label(desk: &Desk, job: Label) -> Done {
     let (remove, set): (Vec<String>, Vec<String>) =
         job.labels.into_iter().partition(|text| text.ends_with('-'));
-    let set = operator::labels(&set).map_err(|text| {
+    let set = operator::parse_labels(&set).map_err(|text| {
         Failure::new(
             Code::Usage,
             format!("`{text}` is neither key=value nor key-"),
@@ -424,7 +424,7 @@
         set,
         remove,
     }];
-    let change = operator::change(new_id(), held.anchor, job.expect, &author(), "", ops);
+    let change = operator::new_change(new_id(), held.anchor, job.expect, &author(), "", ops);
     settle(desk, &change, None, job.wait).await
 }
 
@@ -434,7 +434,7 @@
     let ops = ops_between(&held, &old);
     let note = format!("back to {}", job.to);
     let expect = Some(held.anchor.version);
-    let change = operator::change(new_id(), held.anchor, expect, &author(), &note, ops);
+    let change = operator::new_change(new_id(), held.anchor, expect, &author(), &note, ops);
     settle(desk, &change, None, job.wait).await
 }
 
--- a/src/transport/attempt.rs
+++ b/src/transport/attempt.rs
@@ -107,7 +107,7 @@
     ) -> BoxFuture<'a, Result<reqwest::Response, Failed>> {
         let mut headers = self.headers(plan);
         if is_again {
-            http::set(&mut headers, answer::AGAIN, 1);
+            http::set(&mut headers, answer::REPEAT, 1);
         }
         self.attempt_with(plan, choice, headers, body)
     }
--- a/src/transport/inbound.rs
+++ b/src/transport/inbound.rs
@@ -112,7 +112,7 @@
             policy,
             class,
             deadline,
-            is_again: headers.contains_key(answer::AGAIN),
+            is_again: headers.contains_key(answer::REPEAT),
         })
     }
 
--- a/src/transport/operators.rs
+++ b/src/transport/operators.rs
@@ -14,10 +14,10 @@
     id::{self, Name},
     protocol::{
         operator::{
-            Checked, Convergence, Drain, Explanation, History, Judgement, Question, Report,
-            Resources, Row,
+            Checked, Convergence, Drain, Explanation, History, MemberStatus, Question, Report,
+            Resources, TargetExplanation,
         },
-        wire::{Census, Load},
+        wire::{Payload, VersionCount},
     },
     state::{
         change::Change,
@@ -145,7 +145,8 @@
             .await
             .map_err(|error| error.to_string())?;
         let me = node.me();
-        let mut members: Vec<Row> = node.table.read().iter().map(|member| row(member)).collect();
+        let mut members: Vec<MemberStatus> =
+            node.table.read().iter().map(|member| row(member)).collect();
         members.sort_by(|a, b| (&a.domain, &a.node).cmp(&(&b.domain, &b.node)));
         let report = Report {
             node: me.node,
@@ -164,8 +165,8 @@
     .boxed()
 }
 
-fn row(member: &Member) -> Row {
-    Row {
+fn row(member: &Member) -> MemberStatus {
+    MemberStatus {
         node: member.node.clone(),
         domain: member.domain.clone(),
         status: member.status,
@@ -239,7 +240,7 @@
 }
 
 /// Counts who has `version` in force, over all members that are present.
-async fn count(desk: &Desk, version: Version) -> Census {
+async fn count(desk: &Desk, version: Version) -> VersionCount {
     let node = &desk.node;
     let slice: Vec<SocketAddr> = {
         let table = node.table.read();
@@ -251,7 +252,7 @@
     let mut census = scatter::scatter(
         desk.call.clone(),
         node.peers,
-        Load::Count { version },
+        Payload::Count { version },
         slice,
     )
     .await;
@@ -259,13 +260,13 @@
         census.current += 1;
     } else {
         census.behind += 1;
-        census.name(node.peers);
+        census.add_named(node.peers);
     }
     census
 }
 
 /// Returns the names of the nodes that a census gives by address.
-fn names(node: &Node, census: &Census) -> Vec<id::Node> {
+fn names(node: &Node, census: &VersionCount) -> Vec<id::Node> {
     let table = node.table.read();
     let named = |peers: &SocketAddr| {
         table
@@ -336,7 +337,11 @@
     }
 }
 
-fn judgement(member: &Member, service: &Name, allowed: &BTreeMap<Name, Distance>) -> Judgement {
+fn judgement(
+    member: &Member,
+    service: &Name,
+    allowed: &BTreeMap<Name, Distance>,
+) -> TargetExplanation {
     let draining = member
         .targets
         .iter()
@@ -350,7 +355,7 @@
         Status::Suspect => (true, "allowed; its node has not answered lately"),
         Status::Alive => (true, "allowed"),
     };
-    Judgement {
+    TargetExplanation {
         node: member.node.clone(),
         domain: member.domain.clone(),
         allowed: ok,
--- a/src/transport/peers.rs
+++ b/src/transport/peers.rs
@@ -167,7 +167,7 @@
         let sent = &self.node.metrics.control_bytes;
         let mut body = wire::encode(reply);
         let mut leave = None;
-        if body.len() >= wire::LARGE {
+        if body.len() >= wire::LARGE_REPLY_BYTES {
             leave = self.node.large_replies.clone().try_acquire_owned().ok();
             if leave.is_none() {
                 body = wire::encode(&Reply::Later(catchup::jitter(BUSY)));
--- a/src/transport/relay/control.rs
+++ b/src/transport/relay/control.rs
@@ -27,7 +27,7 @@
     },
     event::Event,
     journal::note,
-    protocol::announce::Message,
+    protocol::announce::TargetCall,
     state::fingerprint::Fingerprint,
     transport::relay::{
         body::{self, Body, Read},
@@ -187,7 +187,7 @@
     };
     match source::decode(host, &bytes, "news", "reader") {
         Some(news) => {
-            source::apply_news(host, ask, news);
+            source::apply_update(host, ask, news);
             plain(StatusCode::OK)
         }
         None => plain(StatusCode::BAD_REQUEST),
@@ -257,7 +257,7 @@
     }
     let message = (host.decoders.target_call)(&head.method, head.uri.path(), &body);
     let message = match message.map_err(|error| crate::logging::chain(&error)) {
-        Ok(Message::Heartbeat(heartbeat)) if heartbeat.service != *host.service() => {
+        Ok(TargetCall::Heartbeat(heartbeat)) if heartbeat.service != *host.service() => {
             let why = format!("its service is {}", heartbeat.service);
             return reject_call(&host, &why);
         }
@@ -278,7 +278,7 @@
         let local = host.local.lock();
         (local.is_leaving(), local.is_restored())
     };
-    let is_leave = is_leaving || matches!(message, Message::Leave(_));
+    let is_leave = is_leaving || matches!(message, TargetCall::Leave(_));
     if is_leave && !is_recalled {
         // The store may still list the target as ready, and this node has not yet
         // restored its state. It will have when the target repeats the call.
@@ -304,11 +304,11 @@
     plain(StatusCode::BAD_REQUEST)
 }
 
-fn apply(host: &Host, message: &Message) -> Change {
+fn apply(host: &Host, message: &TargetCall) -> Change {
     let mut local = host.local.lock();
     match message {
-        Message::Heartbeat(heartbeat) => local.apply_heartbeat(heartbeat, Instant::now()),
-        Message::Leave(instance) => local.leave(instance),
+        TargetCall::Heartbeat(heartbeat) => local.apply_heartbeat(heartbeat, Instant::now()),
+        TargetCall::Leave(instance) => local.leave(instance),
     }
 }
 
--- a/src/transport/relay/egress.rs
+++ b/src/transport/relay/egress.rs
@@ -182,8 +182,11 @@
         let Some(route) = table.find(&host, head.uri.path()).cloned() else {
             let path = head.uri.path();
             let version = table.version;
-            let id =
-                http::get(&head.headers, self.host.decoders.dialect.id.as_str()).unwrap_or("-");
+            let id = http::get(
+                &head.headers,
+                self.host.decoders.dialect.attempt_id.as_str(),
+            )
+            .unwrap_or("-");
             note!(
                 self.host.journal,
                 Event::NoRoute,
@@ -219,7 +222,9 @@
         // Overwrites any service name that the caller sent; this node knows its own service.
         let caller = HeaderValue::from_str(self.host.service().as_str());
         let caller = caller.expect("names are valid in headers");
-        call.head.headers.insert(dialect.caller.clone(), caller);
+        call.head
+            .headers
+            .insert(dialect.caller_service.clone(), caller);
         Ok((call, table.version))
     }
 
@@ -429,7 +434,11 @@
             let service = metrics::Service {
                 service: call.service.to_string(),
             };
-            self.host.metrics.unallowed.get_or_create(&service).inc();
+            self.host
+                .metrics
+                .rejected_retries
+                .get_or_create(&service)
+                .inc();
         }
         is_allowed
     }
@@ -624,7 +633,11 @@
 
     /// Returns the id that the caller gave the request, or `-`.
     fn request_id<'a>(&self, call: &'a Call) -> &'a str {
-        http::get(&call.head.headers, self.host.decoders.dialect.id.as_str()).unwrap_or("-")
+        http::get(
+            &call.head.headers,
+            self.host.decoders.dialect.attempt_id.as_str(),
+        )
+        .unwrap_or("-")
     }
 }
 
--- a/src/transport/relay/ingress.rs
+++ b/src/transport/relay/ingress.rs
@@ -21,7 +21,7 @@
     journal::note,
     protocol::{
         answer::{Outcome, Refusal},
-        hop::{self, Ask, Told},
+        hop,
     },
     state::{fingerprint::Fingerprint, rollout::Role},
     transport::{
@@ -201,7 +201,7 @@
             // The target's release is not ordered, was rolled back, or fails as a canary.
             return Err(Refused::before_arrival(gate::no_target()));
         }
-        let id = head.headers.get(&self.host.decoders.dialect.id);
+        let id = head.headers.get(&self.host.decoders.dialect.attempt_id);
         let since = Instant::now();
         self.check_call_budget(delivery)
             .map_err(Refused::before_arrival)?;
@@ -259,7 +259,7 @@
         if exchange.response.status() == StatusCode::MISDIRECTED_REQUEST {
             self.mark_unreachable(&permit, "another instance answers");
         }
-        let id = run.head.headers.get(&self.host.decoders.dialect.id);
+        let id = run.head.headers.get(&self.host.decoders.dialect.attempt_id);
         self.check_response(id, &exchange.response)?;
         self.relay_response(delivery, permit, run, exchange).await
     }
@@ -400,7 +400,7 @@
         // The instance id of every accepted heartbeat is a valid header value. Without this
         // header, another instance at the same address would not be noticed.
         if let Ok(instance) = HeaderValue::from_str(permit.target.instance.id()) {
-            headers.insert(dialect.expect.clone(), instance);
+            headers.insert(dialect.expected_instance.clone(), instance);
         }
         request
     }
@@ -443,7 +443,7 @@
         note!(
             self.host.journal,
             Event::TargetEnded,
-            id = http::get(&run.head.headers, dialect.id.as_str()).unwrap_or("-"),
+            id = http::get(&run.head.headers, dialect.attempt_id.as_str()).unwrap_or("-"),
             instance = target.instance,
             content = run.content,
             ran = run.since.elapsed().as_millis(),
@@ -475,7 +475,7 @@
     ) -> Result<(), Refused> {
         let dialect = &self.host.decoders.dialect;
         let headers = response.headers();
-        let echoed = headers.get(&dialect.id);
+        let echoed = headers.get(&dialect.attempt_id);
         let is_not_run =
             headers.contains_key(&dialect.not_run) || response.status().as_u16() == 421;
         let is_matching = match (id, echoed) {
@@ -562,8 +562,8 @@
                     .extensions()
                     .get()
                     .map(|RunTime(run_time)| Span::of(*run_time));
-                let report = Told {
-                    ran: run_time,
+                let report = hop::Reply {
+                    run_time,
                     ..self.report(None)
                 };
                 (response, report)
@@ -579,17 +579,17 @@
 
     /// Returns the report for the header of a response to a peer, including the refusal if
     /// there is one.
-    fn report(&self, refused: Option<Refused>) -> Told {
+    fn report(&self, refused: Option<Refused>) -> hop::Reply {
         let progress = self.host.progress();
         let gate = &self.host.gate;
-        let answered = Told {
+        let answered = hop::Reply {
             outcome: Outcome::Answered,
-            arrived: true,
+            has_arrived: true,
             version: progress.version,
-            members: progress.members,
+            members_offset: progress.members,
             load: gate.load(),
-            pace: gate.slowdown(),
-            ran: None,
+            slowdown: gate.slowdown(),
+            run_time: None,
             retry_after: None,
             reason: String::new(),
         };
@@ -598,9 +598,9 @@
             Some(Refused {
                 refusal,
                 has_arrived,
-            }) => Told {
+            }) => hop::Reply {
                 outcome: refusal.outcome,
-                arrived: has_arrived,
+                has_arrived,
                 retry_after: refusal.retry_after,
                 reason: refusal.reason,
                 ..answered
@@ -674,8 +674,11 @@
             note!(
                 self.host.journal,
                 Event::BodyTaken,
-                id =
-                    http::get(&head.headers, self.host.decoders.dialect.id.as_str()).unwrap_or("-"),
+                id = http::get(
+                    &head.headers,
+                    self.host.decoders.dialect.attempt_id.as_str()
+                )
+                .unwrap_or("-"),
                 service = delivery.service,
                 bytes = length.unwrap_or_default(),
                 waited = waited.as_millis(),
@@ -694,7 +697,7 @@
     /// Returns the terms on which a peer asks for a delivery; refuses if this node can't accept
     /// it.
     fn parse_delivery(&self, head: &request::Parts) -> Result<Delivery, Refusal> {
-        let ask: Ask = http::parse(&head.headers, hop::HEADER)
+        let ask: hop::Request = http::parse(&head.headers, hop::HEADER)
             .ok_or_else(|| Refusal::rejected(400, "a node says what it asks for"))?;
         let now = Instant::now();
         if ask.to != self.host.settings.node {
@@ -707,15 +710,15 @@
             service: ask.service,
             arrival: Arrival {
                 priority: ask.priority,
-                max_wait: ask.patience.duration(),
-                due: now + ask.due.duration(),
-                usual_run_time: ask.usual.map(Span::duration),
+                max_wait: ask.max_wait.duration(),
+                due: now + ask.due_in.duration(),
+                usual_run_time: ask.usual_run_time.map(Span::duration),
             },
-            answer_size: ask.answer,
+            answer_size: ask.usual_answer_size,
             deadline: now + ask.deadline.duration(),
             is_trial: false,
-            fault_permille: ask.faults,
-            is_repeat: ask.is_again,
+            fault_permille: ask.fault_permille,
+            is_repeat: ask.is_repeat,
         })
     }
 }
@@ -743,7 +746,7 @@
 }
 
 /// Returns the refusal that a peer reported, or `None` if the response is the target's answer.
-pub fn peer_refusal(status: StatusCode, report: Told) -> Option<Refused> {
+pub fn peer_refusal(status: StatusCode, report: hop::Reply) -> Option<Refused> {
     if report.outcome == Outcome::Answered {
         return None;
     }
@@ -754,7 +757,7 @@
             reason: report.reason,
             retry_after: report.retry_after,
         },
-        has_arrived: report.arrived,
+        has_arrived: report.has_arrived,
     })
 }
 
--- a/src/transport/relay/next.rs
+++ b/src/transport/relay/next.rs
@@ -18,10 +18,7 @@
         },
         host::Host,
     },
-    protocol::{
-        answer::Refusal,
-        hop::{self, Ask, Told},
-    },
+    protocol::{answer::Refusal, hop},
     state::{member::Member, routing::Kind},
     transport::{
         http,
@@ -112,16 +109,16 @@
             response,
             connection,
         } = exchange;
-        let report = http::parse::<Told>(response.headers(), hop::HEADER);
+        let report = http::parse::<hop::Reply>(response.headers(), hop::HEADER);
         let refused = report.and_then(|report| {
             guard.report = Report {
                 load: Some(report.load),
-                slowdown: Some(report.pace),
-                run_time: report.ran.map(Span::duration),
+                slowdown: Some(report.slowdown),
+                run_time: report.run_time.map(Span::duration),
                 is_large,
             };
             self.host
-                .note_newer(report.version, report.members, member.peers);
+                .note_newer(report.version, report.members_offset, member.peers);
             ingress::peer_refusal(response.status(), report)
         });
         let (head, incoming) = response.into_parts();
@@ -203,17 +200,17 @@
         *request.headers_mut() = onward(&call.head.headers);
         let now = Instant::now();
         let remaining = |until: Instant| Span::of(until.saturating_duration_since(now));
-        let ask = Ask {
+        let ask = hop::Request {
             to: member.node.clone(),
             service: delivery.service.clone(),
             priority: delivery.arrival.priority,
-            patience: Span::of(delivery.arrival.max_wait),
-            due: remaining(delivery.arrival.due),
+            max_wait: Span::of(delivery.arrival.max_wait),
+            due_in: remaining(delivery.arrival.due),
             deadline: remaining(delivery.deadline),
-            usual: delivery.arrival.usual_run_time.map(Span::of),
-            answer: delivery.answer_size,
-            faults: delivery.fault_permille,
-            is_again: delivery.is_repeat,
+            usual_run_time: delivery.arrival.usual_run_time.map(Span::of),
+            usual_answer_size: delivery.answer_size,
+            fault_permille: delivery.fault_permille,
+            is_repeat: delivery.is_repeat,
         };
         http::set(request.headers_mut(), hop::HEADER, ask);
         request
--- a/src/transport/relay/outstanding.rs
+++ b/src/transport/relay/outstanding.rs
@@ -122,11 +122,11 @@
 impl Drop for AttemptGuard<'_> {
     fn drop(&mut self) {
         let now = Instant::now();
-        let labels = metrics::Try {
+        let labels = metrics::Attempt {
             service: self.service.to_string(),
             end: self.result.name(),
         };
-        self.host.metrics.tries.get_or_create(&labels).inc();
+        self.host.metrics.attempts.get_or_create(&labels).inc();
         let mut balancer = self.host.balancer.lock();
         let is_ejected = balancer.finish(self.member, self.route, self.result, self.report, now);
         if is_ejected {
--- a/tests/coordination.rs
+++ b/tests/coordination.rs
@@ -33,7 +33,7 @@
     id::Incarnation,
     protocol::{
         log::{Assembly, Batch, split},
-        wire::{Census, Frame, Load, News, Reply},
+        wire::{Frame, Payload, PingBody, Reply, VersionCount},
     },
     settings::Settings,
     state::{
@@ -333,9 +333,9 @@
     let sent_loads = loads.clone();
     let call: Call = Arc::new(move |_, frame, _| {
         if let Frame::Scatter(scatter) = frame {
-            sent_loads.lock().unwrap().push(scatter.load);
+            sent_loads.lock().unwrap().push(scatter.payload);
         }
-        async move { Ok(Reply::Counted(Census::default())) }.boxed()
+        async move { Ok(Reply::Counted(VersionCount::default())) }.boxed()
     });
     let (log, _) = fake_log(0, records(8), Vec::new());
     node.joined
@@ -356,7 +356,7 @@
     };
     assert_eq!(
         load,
-        Some(Load::Records {
+        Some(Payload::Records {
             from: at(0),
             records: records(8)
         })
@@ -394,8 +394,13 @@
                 return Err(Error::Unreachable(peer.to_string()));
             }
             *received.lock().unwrap().entry(peer).or_default() += 1;
-            let forwarded = scatter(peers(dead, received), peer, scattered.load, scattered.slice);
-            let mut census: Census = forwarded.await;
+            let forwarded = scatter(
+                peers(dead, received),
+                peer,
+                scattered.payload,
+                scattered.recipients,
+            );
+            let mut census: VersionCount = forwarded.await;
             census.current += 1;
             Ok(Reply::Counted(census))
         }
@@ -421,7 +426,7 @@
         let slice: Vec<SocketAddr> = (0..count).map(address).collect();
         let call = peers(dead.clone(), received.clone());
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-        let load = Load::Count { version: at(1) };
+        let load = Payload::Count { version: at(1) };
         let census = runtime.block_on(scatter(call, address(9999), load, slice));
         prop_assert_eq!(census.current as usize, count as usize - dead.len());
         prop_assert_eq!(census.silent as usize, dead.len());
@@ -851,7 +856,7 @@
     let fetch_count = fetches.clone();
     let call: Call = Arc::new(move |_, frame, _| {
         let reply = match frame {
-            Frame::Ping(_) => Reply::Pong(News {
+            Frame::Ping(_) => Reply::Pong(PingBody {
                 node: "n2".parse().unwrap(),
                 peers: address(2),
                 version: at(5),
@@ -887,7 +892,7 @@
 async fn suspected_sender_learns_of_it_from_the_pong() {
     let node = node(1, "d");
     node.absorb(vec![member(2, "d", Status::Suspect, 1)]);
-    let from = News {
+    let from = PingBody {
         node: "n2".parse().unwrap(),
         peers: address(2),
         version: Version::default(),
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -40,8 +40,8 @@
         announce::Heartbeat,
         answer::Outcome,
         dialect::{Dialect, Load},
-        hop::{self, Told},
-        news::{Members as News, Seen},
+        hop,
+        update::{Members as MembersUpdate, Progress},
     },
     state::{
         member::{Member, Status, Table, Target},
@@ -257,9 +257,9 @@
                     .since(None);
                 rmp_serde::to_vec(&delta).unwrap()
             }
-            _ => rmp_serde::to_vec_named(&Seen {
+            _ => rmp_serde::to_vec_named(&Progress {
                 version,
-                ..Seen::default()
+                ..Progress::default()
             })
             .unwrap(),
         };
@@ -487,43 +487,43 @@
         let mut rng = fastrand::Rng::with_seed(21);
         let span = |rng: &mut fastrand::Rng| Span::from_millis(rng.u64(0..100_000));
         for i in 0..500 {
-            let ask = hop::Ask {
+            let request = hop::Request {
                 to: format!("n-{i}").parse().unwrap(),
                 service: name(&format!("s{i}.x")),
                 priority: rng.u8(..),
-                patience: span(&mut rng),
-                due: span(&mut rng),
+                max_wait: span(&mut rng),
+                due_in: span(&mut rng),
                 deadline: span(&mut rng),
-                usual: rng.bool().then(|| span(&mut rng)),
-                answer: rng.usize(..1 << 20),
-                faults: rng.u16(..=1000),
-                is_again: rng.bool(),
+                usual_run_time: rng.bool().then(|| span(&mut rng)),
+                usual_answer_size: rng.usize(..1 << 20),
+                fault_permille: rng.u16(..=1000),
+                is_repeat: rng.bool(),
             };
-            assert_eq!(ask.to_string().parse(), Ok(ask.clone()));
-            let told = Told {
+            assert_eq!(request.to_string().parse(), Ok(request.clone()));
+            let reply = hop::Reply {
                 outcome: [Outcome::Answered, Outcome::NotRun, Outcome::Unknown][rng.usize(..3)],
-                arrived: rng.bool(),
+                has_arrived: rng.bool(),
                 version: rng.u64(..),
-                members: rng.u64(..),
+                members_offset: rng.u64(..),
                 load: Load { running: rng.u32(..), waiting: rng.u32(..), slots: rng.u32(..) },
-                pace: format!("{:.2}", 0.2 + rng.f64()).parse().unwrap(),
-                ran: rng.bool().then(|| span(&mut rng)),
+                slowdown: format!("{:.2}", 0.2 + rng.f64()).parse().unwrap(),
+                run_time: rng.bool().then(|| span(&mut rng)),
                 retry_after: rng.bool().then(|| span(&mut rng)),
                 reason: ["", "target is full", "a; b;; c"][rng.usize(..3)].into(),
             };
-            assert_eq!(told.to_string().parse(), Ok(told.clone()));
+            assert_eq!(reply.to_string().parse(), Ok(reply.clone()));
             // A header that is truncated or has one byte changed does not parse or has another
             // value; parsing it does not panic.
-            let text = ask.to_string();
+            let text = request.to_string();
             let truncated = &text[..rng.usize(..text.len())];
-            assert!(truncated.parse::<hop::Ask>().is_ok_and(|other| other != ask) || truncated.parse::<hop::Ask>().is_err());
-            let mut bytes = told.to_string().into_bytes();
+            assert!(truncated.parse::<hop::Request>().is_ok_and(|other| other != request) || truncated.parse::<hop::Request>().is_err());
+            let mut bytes = reply.to_string().into_bytes();
             let at = rng.usize(..bytes.len());
             bytes[at] = rng.u8(b' '..b'~');
-            let _ = String::from_utf8(bytes).unwrap().parse::<Told>();
+            let _ = String::from_utf8(bytes).unwrap().parse::<hop::Reply>();
         }
         for bad in ["", ";;;;;;", "n;s;1;2;3;4", "n;s;-1;2;3;4;5", "N;s;1;2;3;4;5", "n;s;1;2;3;;5"] {
-            assert!(bad.parse::<hop::Ask>().is_err(), "{bad}");
+            assert!(bad.parse::<hop::Request>().is_err(), "{bad}");
         }
     }
 
@@ -1582,14 +1582,14 @@
         for member in &list[1..] {
             peer_table.merge(member.clone());
         }
-        let news_for = |marks: &[u32]| -> News<Member> {
+        let update_for = |marks: &[u32]| -> MembersUpdate<Member> {
             rmp_serde::from_slice(&source::members(&host, marks)).unwrap()
         };
-        let missing = news_for(peer_table.marks());
+        let missing = update_for(peer_table.marks());
         assert!(missing.members.contains(&list[0]));
         assert!(missing.members.len() < 20, "{} of 300", missing.members.len());
-        assert!(news_for(host.members.read().marks()).members.is_empty());
-        assert_eq!(news_for(&[]).members.len(), 300, "a peer without members is sent all");
+        assert!(update_for(host.members.read().marks()).members.is_empty());
+        assert_eq!(update_for(&[]).members.len(), 300, "a peer without members is sent all");
     }
 
     node_removes_a_former_member_at_its_own_address => {
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -365,7 +365,7 @@
         assert!(rollouts.due_for_republish().is_empty(), "the list was cleared");
     }
 
-    lanes_depend_on_the_stage => {
+    subsets_depend_on_the_stage => {
         let rollouts = Rollouts::new(Some(0.1));
         let (table, service, now) = (table(8, 8), name("a"), Instant::now());
         let only = |version: &str| Some(Subset::Release(release(version)));
