--- a/src/coordination/decision/queue.rs
+++ b/src/coordination/decision/queue.rs
@@ -123,7 +123,7 @@
 impl<W> Queue<W> {
     /// Sets how many requests the target runs at a time.
     ///
-    /// With more slots than before, [`grant`](Self::grant) may admit waiting requests.
+    /// With more slots than before, [`admit_next`](Self::admit_next) may admit waiting requests.
     pub fn set_slots(&mut self, slots: u32) {
         self.slots = slots;
     }
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -763,7 +763,7 @@
                 let member = table.get(&node.parse().unwrap()).unwrap().clone();
                 balancer.start(&member, now);
                 let end = AttemptResult::Answered(Duration::from_millis(took));
-                let report = Report { run_time: run_time, slowdown: Some("1.00".parse().unwrap()), ..Report::default() };
+                let report = Report { run_time, slowdown: Some("1.00".parse().unwrap()), ..Report::default() };
                 balancer.finish(&member, &route, end, report, now);
             }
         }
