--- a/standins/src/load/fleet.rs
+++ b/standins/src/load/fleet.rs
@@ -31,7 +31,7 @@
     pub balancer: Balancer,
     pub queue: Queue<usize>,
     pub runs: Runs,
-    pub line: LinkShare,
+    pub link_share: LinkShare,
     /// When its link has carried all that was let in, from the start of the load.
     pub free: Duration,
     pub retry_budget: RetryBudget,
@@ -70,7 +70,7 @@
                     balancer: Balancer::default(),
                     queue,
                     runs: Runs::default(),
-                    line: LinkShare::new(of.bandwidth),
+                    link_share: LinkShare::new(of.bandwidth),
                     free: Duration::ZERO,
                     retry_budget: RetryBudget::new(rule),
                     ages: Ages::default(),
--- a/standins/src/load/model.rs
+++ b/standins/src/load/model.rs
@@ -332,7 +332,7 @@
             return self.refuse(request);
         }
         match host
-            .line
+            .link_share
             .reserve(body, link_share::body_slack(&arrival, now))
         {
             Ok(()) => self.cross(request),
@@ -356,7 +356,7 @@
     fn has_large_body(&self, request: usize) -> bool {
         let held = &self.requests[request];
         let body = self.load.kinds[held.kind].body;
-        is_large(body) && self.fleet.hosts[held.at].line.is_known()
+        is_large(body) && self.fleet.hosts[held.at].link_share.is_known()
     }
 
     /// Lets the body cross the link, behind those that do already.
@@ -364,7 +364,7 @@
         let held = &self.requests[request];
         let body = self.load.kinds[held.kind].body;
         let host = &mut self.fleet.hosts[held.at];
-        host.free = host.free.max(self.now) + host.line.transfer_time(body);
+        host.free = host.free.max(self.now) + host.link_share.transfer_time(body);
         let takes = host.free - self.now;
         self.schedule(takes, Event::Crossed(request));
     }
@@ -375,7 +375,7 @@
             Crossing::First => {
                 let held = &self.requests[request];
                 let body = self.load.kinds[held.kind].body;
-                self.fleet.hosts[held.at].line.release(body);
+                self.fleet.hosts[held.at].link_share.release(body);
                 self.enter_gate(request);
             }
         }
