--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -9,7 +9,7 @@
 //! The duties and the request path are built from:
 //!
 //! * [`node`]: the state that all duties of one daemon share;
-//! * [`link`]: the interfaces to peers and the log, as closures;
+//! * [`interface`]: the interfaces to peers and the log, as closures;
 //! * [`rank`]: which nodes read, relay and write;
 //! * [`scatter`]: sends one message to many nodes and counts their replies;
 //! * [`catchup`]: how a node that is behind catches up;
@@ -25,7 +25,7 @@
 //!   other nodes receive what it read;
 //! * [`local`], [`presence`]: the target on this host, and what is published about it;
 //! * [`gate`]: admission to that target;
-//! * [`review`]: which requests are quarantined because targets crash under them;
+//! * [`quarantine`]: which requests are quarantined because targets crash under them;
 //! * [`rollout`]: which release of a service receives its requests;
 //! * [`decision`]: queueing, load shedding, target selection and retries.
 //!
@@ -44,7 +44,7 @@
 pub mod gossip;
 pub mod health;
 pub mod host;
-pub mod link;
+pub mod interface;
 pub mod local;
 pub mod node;
 pub mod once;
@@ -53,8 +53,8 @@
 pub mod presence;
 pub mod probe;
 pub mod publish;
+pub mod quarantine;
 pub mod rank;
-pub mod review;
 pub mod rollout;
 pub mod scatter;
 pub mod snapshot;
--- a/src/coordination/rollout/duty.rs
+++ b/src/coordination/rollout/controller.rs
@@ -18,7 +18,7 @@
         Error,
         decision::rollout::judge::{self, Input, TargetCounts},
         host::Host,
-        link::Store,
+        interface::Store,
         rollout::Tracked,
         source,
     },
@@ -26,8 +26,8 @@
     id::Name,
     journal::note,
     protocol::{
-        operator::{Progress, Tried},
-        rollout::{State, Word},
+        operator::{Progress, TrialTarget},
+        rollout::{self, State},
     },
     state::{
         member::{Status, Table},
@@ -52,8 +52,8 @@
 const MAX_ATTEMPTS: usize = 8;
 
 /// Carries out orders while this node reads the store; never returns.
-pub async fn keep(host: Arc<Host>, store: Store) {
-    host.until_settled().await;
+pub async fn run(host: Arc<Host>, store: Store) {
+    host.until_membership_settled().await;
     let mut reading = host.reading();
     let mut due = DueStages::default();
     loop {
@@ -195,22 +195,24 @@
     state: State,
 ) -> Result<Stage, Error> {
     for _ in 0..MAX_ATTEMPTS {
-        let read = (store.said)(rollout.service.clone()).await;
+        let read = (store.read_status)(rollout.service.clone()).await;
         host.note_store("newest", &read, None);
         let latest = read?;
-        let is_of_order = |word: &Word| word.to == rollout.to && word.order == Some(rollout.order);
-        if let Some(stored) = latest.word.filter(is_of_order)
+        let is_of_order = |status: &rollout::Status| {
+            status.to == rollout.to && status.order == Some(rollout.order)
+        };
+        if let Some(stored) = latest.status.filter(is_of_order)
             && (stored.state != State::Running || state == State::Running)
         {
             return Ok(stage_of(stored.state));
         }
-        let status = Word {
+        let status = rollout::Status {
             service: rollout.service.clone(),
             to: rollout.to.clone(),
             order: Some(rollout.order),
             state,
         };
-        let put = (store.say)(status, latest.end).await;
+        let put = (store.write_status)(status, latest.end).await;
         host.note_store("put", &put, None);
         if put? {
             return Ok(stage_of(state));
@@ -249,12 +251,12 @@
 }
 
 /// Returns the nodes beside targets of the new release, with their verdicts.
-fn new_targets(table: &Table, rollout: &Rollout) -> Vec<Tried> {
+fn new_targets(table: &Table, rollout: &Rollout) -> Vec<TrialTarget> {
     let offers = table.offers(&rollout.service).iter();
     let new = offers.filter_map(|member| {
         let target = member.target(&rollout.service)?;
         let is_new = target.release.as_ref() == Some(&rollout.to);
-        is_new.then(|| Tried {
+        is_new.then(|| TrialTarget {
             node: member.node.clone(),
             is_failing: target.is_failing(rollout.order),
         })
--- a/src/tool/mod.rs
+++ b/src/tool/mod.rs
@@ -406,7 +406,7 @@
         return Ok(Code::Accepted);
     }
     let id = args.id.unwrap_or_else(random_change_id);
-    let change = operator::change(id, current.anchor, args.expect, &author(), &args.note, ops);
+    let change = operator::new_change(id, current.anchor, args.expect, &author(), &args.note, ops);
     publish_change(client, &change, Some(&files), args.wait).await
 }
 
@@ -415,7 +415,7 @@
         .labels
         .into_iter()
         .partition(|text| text.ends_with('-'));
-    let set = operator::labels(&set).map_err(|text| {
+    let set = operator::parse_labels(&set).map_err(|text| {
         Failure::new(
             Code::Usage,
             format!("`{text}` is neither key=value nor key-"),
@@ -431,7 +431,7 @@
         set,
         remove,
     }];
-    let change = operator::change(
+    let change = operator::new_change(
         random_change_id(),
         current.anchor,
         args.expect,
@@ -448,7 +448,7 @@
     let ops = ops_between(&current, &old);
     let note = format!("back to {}", args.to);
     let expect = Some(current.anchor.version);
-    let change = operator::change(
+    let change = operator::new_change(
         random_change_id(),
         current.anchor,
         expect,
--- a/src/transport/outbound.rs
+++ b/src/transport/outbound.rs
@@ -179,7 +179,7 @@
 
     /// Adds the tokens of a first attempt to the service's retry budget.
     fn earn(&self, plan: &Plan) {
-        let carried = self.node.doors.repeats();
+        let carried = self.node.doors.repeat_share();
         let mut budgets = self.budgets.lock();
         budgets
             .entry(plan.service.name.clone())
--- a/src/transport/peers.rs
+++ b/src/transport/peers.rs
@@ -7,7 +7,7 @@
 use salvo::{Depot, FlowCtrl, Handler, Request, Response, Router, http::ResBody};
 
 use crate::{
-    coordination::{Error, catchup, follow, gossip, link::Call, node::Node},
+    coordination::{Error, catchup, follow, gossip, interface::Call, node::Node},
     metrics::{Metrics, RECEIVED, SENT},
     protocol::wire::{self, Frame, Reply},
     state::member::Member,
@@ -173,7 +173,7 @@
         let sent = &self.node.metrics.control_bytes;
         let mut body = wire::encode(reply);
         let mut permit = None;
-        if body.len() >= wire::LARGE {
+        if body.len() >= wire::LARGE_REPLY_BYTES {
             permit = self.node.large_replies.clone().try_acquire_owned().ok();
             if permit.is_none() {
                 body = wire::encode(&Reply::Later(catchup::jitter(RETRY_DELAY)));
--- a/src/transport/relay/egress.rs
+++ b/src/transport/relay/egress.rs
@@ -15,13 +15,13 @@
 use crate::{
     coordination::{
         decision::{
-            balance::{self, Choice, Report, Wish},
-            quarantine::HELD_BACK,
-            tries,
+            attempts,
+            balance::{self, Choice, Criteria, Report},
+            quarantine::QUARANTINED,
         },
         host::Host,
-        link::Stream,
-        rollout::{Answer, Lane},
+        interface::Stream,
+        rollout::{Answer, Subset},
     },
     event::Event,
     host::metrics,
@@ -75,16 +75,16 @@
 }
 
 /// The attempts made for a request so far.
-type Attempts = tries::Tries<Response<Body>>;
+type Attempts = attempts::Attempts<Response<Body>>;
 
 impl Call {
-    fn request(&self) -> tries::Request<'_> {
-        tries::Request {
+    fn request(&self) -> attempts::Request<'_> {
+        attempts::Request {
             service: &self.service,
             kind: self.route.kind,
             priority: self.route.priority,
             attempts: self.route.attempts,
-            carried: self.repeat_chance,
+            repeat_chance: self.repeat_chance,
             due: self.due,
             deadline: self.deadline,
         }
@@ -114,18 +114,18 @@
     /// Logs the retries of each service that had any, with its retry budget.
     pub fn note_sent_again(&self) {
         let nodes = self.host.nodes();
-        let budget = self.host.allowance.lock();
-        let services = budget.all(nodes, Instant::now());
-        for (service, usage) in services.filter(|(_, usage)| usage.further() > 0.0) {
+        let budget = self.host.retry_budget.lock();
+        let services = budget.usage(nodes, Instant::now());
+        for (service, usage) in services.filter(|(_, usage)| usage.extra_arrivals() > 0.0) {
             note!(
                 self.host.journal,
                 Event::SentAgain,
                 service = service,
-                first = usage.first,
+                first = usage.first_sends,
                 arrived = usage.arrived,
-                again = usage.again,
+                again = usage.retries,
                 repeated = usage.repeated,
-                carried = format_args!("{:.1}", usage.carried),
+                carried = format_args!("{:.1}", usage.repeat_calls),
                 allowed = format_args!("{:.1}", usage.allowed),
             );
         }
@@ -136,13 +136,15 @@
     pub fn tidy(&self) {
         self.peers.tidy();
         if let Some(table) = self.host.routes() {
-            let mut ages = self.host.ages.lock();
+            let mut ages = self.host.request_ages.lock();
             ages.retain(|route| table.has_route(route));
-            self.host.rollouts.retain(|route| table.has_route(route));
+            self.host
+                .rollouts
+                .retain_routes(|route| table.has_route(route));
         }
         let members = self.host.members.read();
         self.host
-            .balance
+            .balancer
             .lock()
             .retain(|node| members.get(node).is_some());
     }
@@ -161,7 +163,9 @@
         let mut attempts = Attempts::default();
         let result = self.run_attempts(&call, body, &mut attempts).await;
         if let Ok(response) = &result {
-            self.host.until_room(response.body().length()).await;
+            self.host
+                .until_bandwidth_free(response.body().length())
+                .await;
         }
         self.finish(&call, version, &attempts, result)
     }
@@ -178,7 +182,11 @@
         let Some(route) = table.find(&host, head.uri.path()).cloned() else {
             let path = head.uri.path();
             let version = table.version;
-            let id = http::get(&head.headers, self.host.words.dialect.id.as_str()).unwrap_or("-");
+            let id = http::get(
+                &head.headers,
+                self.host.decoders.dialect.attempt_id.as_str(),
+            )
+            .unwrap_or("-");
             note!(
                 self.host.journal,
                 Event::NoRoute,
@@ -189,11 +197,11 @@
             );
             return Err(Refusal::rejected(404, "no route matches"));
         };
-        let dialect = &self.host.words.dialect;
+        let dialect = &self.host.decoders.dialect;
         let remaining = http::parse(&head.headers, dialect.deadline.as_str());
         let age = remaining.map_or(Duration::ZERO, |remaining| {
             let remaining = Duration::from_millis(remaining);
-            self.host.ages.lock().note(&route.name, remaining)
+            self.host.request_ages.lock().note(&route.name, remaining)
         });
         let remaining = remaining.map_or(route.timeout, |remaining| {
             Span::from_millis(remaining).min(route.timeout)
@@ -205,7 +213,7 @@
             route,
             service,
             arrived,
-            repeat_chance: self.host.gate.repeats(),
+            repeat_chance: self.host.gate.repeat_share(),
             // `None` means that the due time lies before the start of the clock. The
             // request is late in that case, too.
             due: due.unwrap_or(arrived),
@@ -214,7 +222,9 @@
         // Overwrites any service name that the caller sent; this node knows its own service.
         let caller = HeaderValue::from_str(self.host.service().as_str());
         let caller = caller.expect("names are valid in headers");
-        call.head.headers.insert(dialect.caller.clone(), caller);
+        call.head
+            .headers
+            .insert(dialect.caller_service.clone(), caller);
         Ok((call, table.version))
     }
 
@@ -266,14 +276,14 @@
         let bytes = whole.as_ref().map_or(KEPT_BODY, Bytes::len);
         let content = content::fingerprint(&call.head, whole.as_deref());
         while attempts.may_ask(&call.request(), Instant::now()) {
-            let is_quarantined = self.host.reviews.is_held(&content);
+            let is_quarantined = self.host.quarantine.is_quarantined(&content);
             let choice = match is_quarantined {
                 true => self.trial_target(call, &content, attempts),
                 false => self.choose_target(call, bytes, attempts),
             };
             let Some(choice) = choice else {
                 match is_quarantined {
-                    true => attempts.note(Refusal::rejected(503, HELD_BACK)),
+                    true => attempts.keep_refusal(Refusal::rejected(503, QUARANTINED)),
                     false => self.log_no_target(call, attempts),
                 }
                 break;
@@ -293,8 +303,8 @@
                 .attempt(call, &choice, body, attempts, is_quarantined)
                 .await;
             if attempts.arrivals == 0 && outcome.has_arrived() {
-                let mut budget = self.host.allowance.lock();
-                budget.arrive(&call.service, Instant::now());
+                let mut budget = self.host.retry_budget.lock();
+                budget.note_arrival(&call.service, Instant::now());
             }
             if matches!(outcome, AttemptOutcome::Refused(_)) && is_exceeded.load(Ordering::Relaxed)
             {
@@ -305,49 +315,49 @@
             if let AttemptOutcome::Answered(response) = &outcome
                 && response.body().is_whole()
             {
-                self.host.reviews.note_answer(content);
+                self.host.quarantine.note_answer(content);
             }
             if let AttemptOutcome::Answered(response) = &outcome
                 && let Some(bytes) = response.body().length()
             {
-                let mut balance = self.host.balance.lock();
-                balance.note_size(&call.route.name, bytes);
+                let mut balancer = self.host.balancer.lock();
+                balancer.record_answer_size(&call.route.name, bytes);
             }
-            if let Some(result) = attempts.take(call.route.kind, outcome.into()) {
+            if let Some(result) = attempts.record(call.route.kind, outcome.into()) {
                 return result;
             }
         }
-        attempts.end()
+        attempts.final_result()
     }
 
     /// Returns the target for the next attempt. During a roll-out, the subsets of targets are
     /// searched in order of preference.
     fn choose_target(&self, call: &Call, bytes: usize, attempts: &Attempts) -> Option<Choice> {
-        let criteria = Wish {
+        let criteria = Criteria {
             node: &self.host.settings.node,
             route: &call.route.name,
             service: &call.service,
             domain: &self.host.settings.domain,
             bytes,
-            own: self.host.gate.load(),
+            own_load: self.host.gate.load(),
         };
         let members = self.host.members.read();
         let service = &call.service;
         let subsets = self
             .host
             .rollouts
-            .lanes(service, &members, attempts.nodes.is_empty());
-        let mut balance = self.host.balance.lock();
+            .subsets(service, &members, attempts.nodes.is_empty());
+        let mut balancer = self.host.balancer.lock();
         for subset in subsets.into_iter().flatten() {
             let is_eligible = |member: &Member| {
                 !attempts.nodes.contains(&member.node) && subset.admits(member, service)
             };
-            let choice = balance.choose(&members, criteria, is_eligible, Instant::now());
+            let choice = balancer.choose(&members, criteria, is_eligible, Instant::now());
             if choice.is_some() {
                 return choice;
             }
-            if matches!(subset, Lane::Trial(_)) {
-                self.host.rollouts.give_back(service);
+            if matches!(subset, Subset::Trial(_)) {
+                self.host.rollouts.refund(service);
             }
         }
         None
@@ -367,8 +377,8 @@
             AttemptOutcome::Answered(response) => Some(Answer {
                 route: &call.route.name,
                 is_fault: response.status().is_server_error(),
-                ran: run_time.unwrap_or_default(),
-                usual: usual_run_time,
+                run_time: run_time.unwrap_or_default(),
+                usual_run_time,
             }),
             // An aborted run counts as a bad answer of any release. The baseline of the serving
             // release must include its aborted runs, or the new one would be judged more
@@ -376,12 +386,12 @@
             AttemptOutcome::Refused(refused) => refused.is_fault().then(|| Answer {
                 route: &call.route.name,
                 is_fault: true,
-                ran: run_time.unwrap_or_default(),
-                usual: usual_run_time,
+                run_time: run_time.unwrap_or_default(),
+                usual_run_time,
             }),
         };
         let rollouts = &self.host.rollouts;
-        rollouts.note_try(
+        rollouts.record_attempt(
             target,
             &call.service,
             outcome.has_arrived(),
@@ -392,7 +402,7 @@
     /// Logs the numbers of known, draining and excluded targets when none can be chosen.
     fn log_no_target(&self, call: &Call, attempts: &Attempts) {
         let members = self.host.members.read();
-        let count = self.host.balance.lock().count(
+        let count = self.host.balancer.lock().count_targets(
             &members,
             &call.service,
             &self.host.settings.node,
@@ -405,9 +415,9 @@
             service = call.service,
             known = count.known,
             draining = count.draining,
-            passed_over = count.passed_over,
+            passed_over = count.excluded,
             tried = attempts.nodes.len(),
-            members_at = self.host.at(Stream::Members).unwrap_or(0),
+            members_at = self.host.offset(Stream::Members).unwrap_or(0),
         );
     }
 
@@ -415,7 +425,7 @@
     /// retry from the retry budget. A retry is free if no target has seen the request yet.
     fn may_send(&self, call: &Call, attempts: &Attempts) -> bool {
         let is_allowed = {
-            let mut budget = self.host.allowance.lock();
+            let mut budget = self.host.retry_budget.lock();
             let nodes = self.host.nodes();
             attempts.may_send(&call.request(), &mut budget, nodes, Instant::now())
         };
@@ -424,7 +434,11 @@
             let service = metrics::Service {
                 service: call.service.to_string(),
             };
-            self.host.metrics.unallowed.get_or_create(&service).inc();
+            self.host
+                .metrics
+                .rejected_retries
+                .get_or_create(&service)
+                .inc();
         }
         is_allowed
     }
@@ -442,7 +456,7 @@
         let member = members
             .get(&self.host.settings.node)
             .filter(|_| is_eligible)?;
-        if !self.host.reviews.try_again(content) {
+        if !self.host.quarantine.start_trial(content) {
             return None;
         }
         note!(self.host.journal, Event::TriedAgain, content = content);
@@ -467,13 +481,16 @@
         let since = Instant::now();
         let mut guard = AttemptGuard::start(&self.host, member, &call.route.name, &call.service);
         let (usual_run_time, answer_size) = {
-            let balance = self.host.balance.lock();
+            let balancer = self.host.balancer.lock();
             let route = &call.route.name;
-            (balance.usual(route), balance.large_answer(route))
+            (
+                balancer.mean_run_time(route),
+                balancer.large_answer_size(route),
+            )
         };
-        let arrival = attempts.arrival(&call.request(), usual_run_time, since);
+        let arrival = attempts.queue_arrival(&call.request(), usual_run_time, since);
         let arrival = match next::is_offered(call, &body) {
-            true => tries::offered(arrival),
+            true => attempts::limit_offer_wait(arrival),
             false => arrival,
         };
         let delivery = Delivery {
@@ -483,7 +500,7 @@
             deadline: call.deadline,
             is_trial,
             is_repeat: attempts.arrivals > 0,
-            fault_permille: (self.host.rollouts.usual(&call.route.name) * 1000.0) as u16,
+            fault_permille: (self.host.rollouts.baseline(&call.route.name) * 1000.0) as u16,
         };
         let is_large = body.length().is_none_or(balance::is_large);
         let outcome = if member.node == self.host.settings.node {
@@ -491,8 +508,8 @@
             let run_time = delivered.as_ref().ok().and_then(|r| r.extensions().get());
             guard.report = Report {
                 load: Some(self.host.gate.load()),
-                pace: Some(self.host.gate.pace()),
-                ran: run_time.map(|RunTime(run_time)| *run_time),
+                slowdown: Some(self.host.gate.slowdown()),
+                run_time: run_time.map(|RunTime(run_time)| *run_time),
                 is_large,
             };
             match delivered {
@@ -504,7 +521,13 @@
                 .send(call, member, &delivery, body, &mut guard)
                 .await
         };
-        self.record_attempt(call, member, &outcome, usual_run_time, guard.report.ran);
+        self.record_attempt(
+            call,
+            member,
+            &outcome,
+            usual_run_time,
+            guard.report.run_time,
+        );
         guard.finish(&outcome, since.elapsed());
         if let AttemptOutcome::Refused(refused) = &outcome {
             note!(
@@ -610,7 +633,11 @@
 
     /// Returns the id that the caller gave the request, or `-`.
     fn request_id<'a>(&self, call: &'a Call) -> &'a str {
-        http::get(&call.head.headers, self.host.words.dialect.id.as_str()).unwrap_or("-")
+        http::get(
+            &call.head.headers,
+            self.host.decoders.dialect.attempt_id.as_str(),
+        )
+        .unwrap_or("-")
     }
 }
 
--- a/src/transport/relay/ingress.rs
+++ b/src/transport/relay/ingress.rs
@@ -10,20 +10,20 @@
 
 use crate::{
     coordination::{
-        decision::{balance, line, quarantine::HELD_BACK},
-        flow::Counted,
+        decision::{balance, link_share, quarantine::QUARANTINED},
+        flow::Reservation,
         gate::{self, Arrival, LEAVING, NO_TARGET, Permit},
         host::Host,
-        rollout::{Answer, here},
+        rollout::{Answer, local},
     },
     event::Event,
     id::Name,
     journal::note,
     protocol::{
         answer::{Outcome, Refusal},
-        hop::{self, Ask, Told},
+        hop,
     },
-    state::{fingerprint::Fingerprint, rollout::Standing},
+    state::{fingerprint::Fingerprint, rollout::Role},
     transport::{
         http,
         relay::{
@@ -197,11 +197,11 @@
             let refusal = Refusal::not_run(OTHER_NODE, Span::from_millis(0));
             return Err(Refused::before_arrival(refusal));
         }
-        if here::standing(&self.host) == Standing::Barred {
+        if local::role(&self.host) == Role::Excluded {
             // The target's release is not ordered, was rolled back, or fails as a canary.
             return Err(Refused::before_arrival(gate::no_target()));
         }
-        let id = head.headers.get(&self.host.words.dialect.id);
+        let id = head.headers.get(&self.host.decoders.dialect.attempt_id);
         let since = Instant::now();
         self.check_call_budget(delivery)
             .map_err(Refused::before_arrival)?;
@@ -209,7 +209,7 @@
             .reserve_answer(delivery)
             .map_err(Refused::before_arrival)?;
         let body = self.read_large_body(delivery, head, body).await?;
-        let admission = self.host.gate.enter(delivery.arrival).await;
+        let admission = self.host.gate.acquire(delivery.arrival).await;
         self.log_admission(id, delivery, since, &admission);
         let mut permit = admission.map_err(Refused::before_arrival)?;
         let body = self.read_body(delivery, head, body).await?;
@@ -220,10 +220,10 @@
             deadline: delivery.deadline,
         };
         // The sender may not know yet that targets crash under this request.
-        if !delivery.is_trial && self.host.reviews.is_held(&run.content) {
-            return Err(Refused::before_arrival(Refusal::rejected(503, HELD_BACK)));
+        if !delivery.is_trial && self.host.quarantine.is_quarantined(&run.content) {
+            return Err(Refused::before_arrival(Refusal::rejected(503, QUARANTINED)));
         }
-        permit.begin(delivery.is_repeat);
+        permit.start_run(delivery.is_repeat);
         let result = self.run(delivery, permit, &run, body).await;
         let run_time = run.since.elapsed();
         if let Some(is_fault) = is_fault(&result) {
@@ -231,8 +231,8 @@
         }
         let mut response = result?;
         if response.status().is_success() {
-            if let Some(usual) = delivery.arrival.usual {
-                self.host.gate.note_run(run_time, usual);
+            if let Some(usual) = delivery.arrival.usual_run_time {
+                self.host.gate.record_run(run_time, usual);
             }
             response.extensions_mut().insert(RunTime(run_time));
             if let Some(reservation) = reservation {
@@ -259,7 +259,7 @@
         if exchange.response.status() == StatusCode::MISDIRECTED_REQUEST {
             self.mark_unreachable(&permit, "another instance answers");
         }
-        let id = run.head.headers.get(&self.host.words.dialect.id);
+        let id = run.head.headers.get(&self.host.decoders.dialect.attempt_id);
         self.check_response(id, &exchange.response)?;
         self.relay_response(delivery, permit, run, exchange).await
     }
@@ -268,7 +268,12 @@
     /// the repeated calls.
     fn check_call_budget(&self, delivery: &Delivery) -> Result<(), Refusal> {
         let nodes = self.host.nodes();
-        let has_budget = || self.host.allowance.lock().carries(nodes, Instant::now());
+        let has_budget = || {
+            self.host
+                .retry_budget
+                .lock()
+                .has_room_for_calls(nodes, Instant::now())
+        };
         match !delivery.is_repeat || has_budget() {
             true => Ok(()),
             false => Err(Refusal::not_run(CALL_BUDGET_SPENT, CALLS_RETRY_AFTER)),
@@ -283,7 +288,7 @@
         is_fault: bool,
         run_time: Duration,
     ) {
-        if !self.host.rollouts.is_trying(&delivery.service) {
+        if !self.host.rollouts.is_evaluating(&delivery.service) {
             return;
         }
         let routes = self.host.routes();
@@ -294,10 +299,10 @@
         let answer = Answer {
             route: &route.name,
             is_fault,
-            ran: run_time,
-            usual: delivery.arrival.usual,
+            run_time,
+            usual_run_time: delivery.arrival.usual_run_time,
         };
-        here::weigh(
+        local::assess(
             &self.host,
             &answer,
             f64::from(delivery.fault_permille) / 1000.0,
@@ -306,7 +311,7 @@
 
     /// Reserves the link for a large answer, if the link can carry it in time after the
     /// answers reserved before. Otherwise the target would run in vain.
-    fn reserve_answer(&self, delivery: &Delivery) -> Result<Option<Arc<Counted>>, Refusal> {
+    fn reserve_answer(&self, delivery: &Delivery) -> Result<Option<Arc<Reservation>>, Refusal> {
         if delivery.answer_size == 0 {
             return Ok(None);
         }
@@ -316,9 +321,9 @@
             .saturating_duration_since(Instant::now());
         // The answer to a late request may take as long as its run. With more, links of
         // 10 Mbit/s fill with answers that no caller waits for any more.
-        let run_time = delivery.arrival.usual.unwrap_or_default();
-        let outflow = &self.host.outflow;
-        let reservation = outflow.count_in(delivery.answer_size, slack.max(run_time));
+        let run_time = delivery.arrival.usual_run_time.unwrap_or_default();
+        let outflow = &self.host.response_flow;
+        let reservation = outflow.reserve(delivery.answer_size, slack.max(run_time));
         let refusal = |wait| Refusal::not_run(LINK_BUSY, Span::of(wait));
         reservation
             .map(|reservation| Some(Arc::new(reservation)))
@@ -356,14 +361,18 @@
                 priority = priority,
                 load = load,
                 waited = waited,
-                patience = delivery.arrival.patience.as_millis(),
+                patience = delivery.arrival.max_wait.as_millis(),
                 due = delivery
                     .arrival
                     .due
                     .saturating_duration_since(since)
                     .as_millis(),
-                usual = delivery.arrival.usual.unwrap_or_default().as_millis(),
-                turn = self.host.gate.turn().as_millis(),
+                usual = delivery
+                    .arrival
+                    .usual_run_time
+                    .unwrap_or_default()
+                    .as_millis(),
+                turn = self.host.gate.slot_turnover().as_millis(),
                 reason = refusal.reason,
             ),
         }
@@ -377,7 +386,7 @@
         head: &request::Parts,
         body: Body,
     ) -> Request<Body> {
-        let dialect = &self.host.words.dialect;
+        let dialect = &self.host.decoders.dialect;
         let mut request = Request::new(body);
         *request.method_mut() = head.method.clone();
         *request.uri_mut() = origin_form(&head.uri);
@@ -391,7 +400,7 @@
         // The instance id of every accepted heartbeat is a valid header value. Without this
         // header, another instance at the same address would not be noticed.
         if let Ok(instance) = HeaderValue::from_str(permit.target.instance.id()) {
-            headers.insert(dialect.expect.clone(), instance);
+            headers.insert(dialect.expected_instance.clone(), instance);
         }
         request
     }
@@ -427,12 +436,14 @@
         if !self.pool.is_closed(target.address, run.deadline).await {
             return TARGET_BROKE_OFF;
         }
-        let dialect = &self.host.words.dialect;
-        self.host.reviews.note_end(&target.instance, run.content);
+        let dialect = &self.host.decoders.dialect;
+        self.host
+            .quarantine
+            .note_crash(&target.instance, run.content);
         note!(
             self.host.journal,
             Event::TargetEnded,
-            id = http::get(&run.head.headers, dialect.id.as_str()).unwrap_or("-"),
+            id = http::get(&run.head.headers, dialect.attempt_id.as_str()).unwrap_or("-"),
             instance = target.instance,
             content = run.content,
             ran = run.since.elapsed().as_millis(),
@@ -444,7 +455,7 @@
     /// Marks the target as unreachable and closes the gate until its next heartbeat.
     fn mark_unreachable(&self, permit: &Permit, reason: impl std::fmt::Display) {
         let instance = &permit.target.instance;
-        if self.host.local.lock().doubt(instance) {
+        if self.host.local.lock().mark_unreachable(instance) {
             self.host.set_gate();
             note!(
                 self.host.journal,
@@ -462,9 +473,9 @@
         id: Option<&HeaderValue>,
         response: &Response<Body>,
     ) -> Result<(), Refused> {
-        let dialect = &self.host.words.dialect;
+        let dialect = &self.host.decoders.dialect;
         let headers = response.headers();
-        let echoed = headers.get(&dialect.id);
+        let echoed = headers.get(&dialect.attempt_id);
         let is_not_run =
             headers.contains_key(&dialect.not_run) || response.status().as_u16() == 421;
         let is_matching = match (id, echoed) {
@@ -522,7 +533,7 @@
         let body = match read {
             Read::Whole(bytes) => {
                 self.pool.put_back(connection);
-                self.host.reviews.note_answer(run.content);
+                self.host.quarantine.note_answer(run.content);
                 Body::whole(bytes)
             }
             Read::Start(first, rest) => {
@@ -544,13 +555,15 @@
         };
         let (mut response, report) = match result {
             Ok(response) => {
-                self.host.until_room(response.body().length()).await;
+                self.host
+                    .until_bandwidth_free(response.body().length())
+                    .await;
                 let run_time = response
                     .extensions()
                     .get()
                     .map(|RunTime(run_time)| Span::of(*run_time));
-                let report = Told {
-                    ran: run_time,
+                let report = hop::Reply {
+                    run_time,
                     ..self.report(None)
                 };
                 (response, report)
@@ -566,17 +579,17 @@
 
     /// Returns the report for the header of a response to a peer, including the refusal if
     /// there is one.
-    fn report(&self, refused: Option<Refused>) -> Told {
-        let progress = self.host.seen();
+    fn report(&self, refused: Option<Refused>) -> hop::Reply {
+        let progress = self.host.progress();
         let gate = &self.host.gate;
-        let answered = Told {
+        let answered = hop::Reply {
             outcome: Outcome::Answered,
-            arrived: true,
+            has_arrived: true,
             version: progress.version,
-            members: progress.members,
+            members_offset: progress.members,
             load: gate.load(),
-            pace: gate.pace(),
-            ran: None,
+            slowdown: gate.slowdown(),
+            run_time: None,
             retry_after: None,
             reason: String::new(),
         };
@@ -585,9 +598,9 @@
             Some(Refused {
                 refusal,
                 has_arrived,
-            }) => Told {
+            }) => hop::Reply {
                 outcome: refusal.outcome,
-                arrived: has_arrived,
+                has_arrived,
                 retry_after: refusal.retry_after,
                 reason: refusal.reason,
                 ..answered
@@ -619,7 +632,7 @@
             .gate
             .check(arrival)
             .map_err(Refused::before_arrival)?;
-        let slack = line::spare(arrival, Instant::now());
+        let slack = link_share::body_slack(arrival, Instant::now());
         let reservation = self.inflow.count_in(length, slack);
         let refused = |wait| Refused::before_arrival(Refusal::not_run(LINK_FULL, Span::of(wait)));
         let _reservation = reservation.map_err(refused)?;
@@ -661,7 +674,11 @@
             note!(
                 self.host.journal,
                 Event::BodyTaken,
-                id = http::get(&head.headers, self.host.words.dialect.id.as_str()).unwrap_or("-"),
+                id = http::get(
+                    &head.headers,
+                    self.host.decoders.dialect.attempt_id.as_str()
+                )
+                .unwrap_or("-"),
                 service = delivery.service,
                 bytes = length.unwrap_or_default(),
                 waited = waited.as_millis(),
@@ -680,7 +697,7 @@
     /// Returns the terms on which a peer asks for a delivery; refuses if this node can't accept
     /// it.
     fn parse_delivery(&self, head: &request::Parts) -> Result<Delivery, Refusal> {
-        let ask: Ask = http::parse(&head.headers, hop::HEADER)
+        let ask: hop::Request = http::parse(&head.headers, hop::HEADER)
             .ok_or_else(|| Refusal::rejected(400, "a node says what it asks for"))?;
         let now = Instant::now();
         if ask.to != self.host.settings.node {
@@ -693,15 +710,15 @@
             service: ask.service,
             arrival: Arrival {
                 priority: ask.priority,
-                patience: ask.patience.duration(),
-                due: now + ask.due.duration(),
-                usual: ask.usual.map(Span::duration),
+                max_wait: ask.max_wait.duration(),
+                due: now + ask.due_in.duration(),
+                usual_run_time: ask.usual_run_time.map(Span::duration),
             },
-            answer_size: ask.answer,
+            answer_size: ask.usual_answer_size,
             deadline: now + ask.deadline.duration(),
             is_trial: false,
-            fault_permille: ask.faults,
-            is_repeat: ask.is_again,
+            fault_permille: ask.fault_permille,
+            is_repeat: ask.is_repeat,
         })
     }
 }
@@ -729,7 +746,7 @@
 }
 
 /// Returns the refusal that a peer reported, or `None` if the response is the target's answer.
-pub fn peer_refusal(status: StatusCode, report: Told) -> Option<Refused> {
+pub fn peer_refusal(status: StatusCode, report: hop::Reply) -> Option<Refused> {
     if report.outcome == Outcome::Answered {
         return None;
     }
@@ -740,7 +757,7 @@
             reason: report.reason,
             retry_after: report.retry_after,
         },
-        has_arrived: report.arrived,
+        has_arrived: report.has_arrived,
     })
 }
 
--- a/src/transport/relay/next.rs
+++ b/src/transport/relay/next.rs
@@ -13,15 +13,12 @@
 use crate::{
     coordination::{
         decision::{
-            balance::{self, End, Report},
-            reach::Loss,
+            balance::{self, AttemptResult, Report},
+            reach,
         },
         host::Host,
     },
-    protocol::{
-        answer::Refusal,
-        hop::{self, Ask, Told},
-    },
+    protocol::{answer::Refusal, hop},
     state::{member::Member, routing::Kind},
     transport::{
         http,
@@ -102,7 +99,7 @@
             Ok(exchange) => exchange,
             Err(failure) => {
                 guard.node_failure = Some(node_failure(&failure));
-                if matches!(guard.node_failure, Some(End::Lost(_))) {
+                if matches!(guard.node_failure, Some(AttemptResult::Lost(_))) {
                     self.pool.forget(member.inbound);
                 }
                 return AttemptOutcome::Refused(refuse_failure(&failure));
@@ -112,16 +109,16 @@
             response,
             connection,
         } = exchange;
-        let report = http::parse::<Told>(response.headers(), hop::HEADER);
+        let report = http::parse::<hop::Reply>(response.headers(), hop::HEADER);
         let refused = report.and_then(|report| {
             guard.report = Report {
                 load: Some(report.load),
-                pace: Some(report.pace),
-                ran: report.ran.map(Span::duration),
+                slowdown: Some(report.slowdown),
+                run_time: report.run_time.map(Span::duration),
                 is_large,
             };
             self.host
-                .hear_of(report.version, report.members, member.peers);
+                .note_newer(report.version, report.members_offset, member.peers);
             ingress::peer_refusal(response.status(), report)
         });
         let (head, incoming) = response.into_parts();
@@ -165,7 +162,7 @@
         request: Request<Body>,
     ) -> Result<Exchange, Failure> {
         let (request, offer) = offer::offer(request);
-        let offer_deadline = Instant::now() + delivery.arrival.patience + OFFER_TIMEOUT;
+        let offer_deadline = Instant::now() + delivery.arrival.max_wait + OFFER_TIMEOUT;
         let sending = self.pool.send(member.inbound, request, delivery.deadline);
         let mut sending = std::pin::pin!(sending);
         let early = tokio::time::timeout_at(offer_deadline.into(), sending.as_mut()).await;
@@ -203,17 +200,17 @@
         *request.headers_mut() = onward(&call.head.headers);
         let now = Instant::now();
         let remaining = |until: Instant| Span::of(until.saturating_duration_since(now));
-        let ask = Ask {
+        let ask = hop::Request {
             to: member.node.clone(),
             service: delivery.service.clone(),
             priority: delivery.arrival.priority,
-            patience: Span::of(delivery.arrival.patience),
-            due: remaining(delivery.arrival.due),
+            max_wait: Span::of(delivery.arrival.max_wait),
+            due_in: remaining(delivery.arrival.due),
             deadline: remaining(delivery.deadline),
-            usual: delivery.arrival.usual.map(Span::of),
-            answer: delivery.answer_size,
-            faults: delivery.fault_permille,
-            is_again: delivery.is_repeat,
+            usual_run_time: delivery.arrival.usual_run_time.map(Span::of),
+            usual_answer_size: delivery.answer_size,
+            fault_permille: delivery.fault_permille,
+            is_repeat: delivery.is_repeat,
         };
         http::set(request.headers_mut(), hop::HEADER, ask);
         request
@@ -248,12 +245,12 @@
 }
 
 /// Returns what a failure means for the reachability of the peer.
-fn node_failure(failure: &Failure) -> End {
+fn node_failure(failure: &Failure) -> AttemptResult {
     match failure {
-        Failure::TimedOut | Failure::Untaken => End::Late,
+        Failure::TimedOut | Failure::Untaken => AttemptResult::Late,
         // The body ended with an error on this side: the caller disconnected or sent too much.
-        Failure::Broken(error) if error.is_user() => End::Abandoned,
-        failure if failure.is_silence() => End::Lost(Loss::Silent),
-        _ => End::Lost(Loss::Closed),
+        Failure::Broken(error) if error.is_user() => AttemptResult::Abandoned,
+        failure if failure.is_silence() => AttemptResult::Lost(reach::Failure::Silent),
+        _ => AttemptResult::Lost(reach::Failure::Closed),
     }
 }
--- a/src/transport/relay/outstanding.rs
+++ b/src/transport/relay/outstanding.rs
@@ -7,8 +7,8 @@
 use crate::{
     coordination::{
         decision::{
-            balance::{End, Report},
-            tries::Ended,
+            attempts::AttemptEnd,
+            balance::{AttemptResult, Report},
         },
         host::Host,
     },
@@ -42,7 +42,7 @@
     }
 }
 
-impl From<AttemptOutcome> for Ended<Response<Body>> {
+impl From<AttemptOutcome> for AttemptEnd<Response<Body>> {
     fn from(outcome: AttemptOutcome) -> Self {
         match outcome {
             AttemptOutcome::Answered(answer) => Self::Answered {
@@ -52,7 +52,7 @@
             AttemptOutcome::Refused(Refused { refusal, .. })
                 if refusal.reason == ingress::TARGET_CRASHED =>
             {
-                Self::TargetEnded(refusal)
+                Self::TargetCrashed(refusal)
             }
             AttemptOutcome::Refused(Refused {
                 refusal,
@@ -75,15 +75,15 @@
     /// The node's report about its target.
     pub report: Report,
     /// How the node itself failed, as opposed to its target; `None` if it didn't.
-    pub node_failure: Option<End>,
+    pub node_failure: Option<AttemptResult>,
     /// How the attempt ended; abandoned unless it was finished.
-    result: End,
+    result: AttemptResult,
 }
 
 impl<'a> AttemptGuard<'a> {
     /// Returns a guard for a request of `route` for `service` that is sent to a member.
     pub fn start(host: &'a Host, member: &'a Member, route: &'a Name, service: &'a Name) -> Self {
-        host.balance.lock().start(member, Instant::now());
+        host.balancer.lock().start(member, Instant::now());
         Self {
             host,
             member,
@@ -91,7 +91,7 @@
             service,
             report: Report::default(),
             node_failure: None,
-            result: End::Abandoned,
+            result: AttemptResult::Abandoned,
         }
     }
 
@@ -99,17 +99,21 @@
     pub fn finish(mut self, outcome: &AttemptOutcome, elapsed: Duration) {
         self.result = match outcome {
             AttemptOutcome::Answered(response) if response.status().is_server_error() => {
-                End::Failed
+                AttemptResult::Failed
             }
-            AttemptOutcome::Answered(_) => End::Answered(elapsed),
+            AttemptOutcome::Answered(_) => AttemptResult::Answered(elapsed),
             AttemptOutcome::Refused(refused) => match refused.refusal.outcome {
-                _ if self.node_failure.is_some() => self.node_failure.unwrap_or(End::Failed),
-                Outcome::NotRun if refused.refusal.reason == ingress::OTHER_NODE => End::Replaced,
+                _ if self.node_failure.is_some() => {
+                    self.node_failure.unwrap_or(AttemptResult::Failed)
+                }
+                Outcome::NotRun if refused.refusal.reason == ingress::OTHER_NODE => {
+                    AttemptResult::Replaced
+                }
                 Outcome::NotRun if ingress::is_target_unavailable(&refused.refusal.reason) => {
-                    End::Leaving
+                    AttemptResult::Leaving
                 }
-                Outcome::NotRun => End::Refused,
-                _ => End::Failed,
+                Outcome::NotRun => AttemptResult::Refused,
+                _ => AttemptResult::Failed,
             },
         };
     }
@@ -118,15 +122,15 @@
 impl Drop for AttemptGuard<'_> {
     fn drop(&mut self) {
         let now = Instant::now();
-        let labels = metrics::Try {
+        let labels = metrics::Attempt {
             service: self.service.to_string(),
             end: self.result.name(),
         };
-        self.host.metrics.tries.get_or_create(&labels).inc();
-        let mut balance = self.host.balance.lock();
-        let is_ejected = balance.finish(self.member, self.route, self.result, self.report, now);
+        self.host.metrics.attempts.get_or_create(&labels).inc();
+        let mut balancer = self.host.balancer.lock();
+        let is_ejected = balancer.finish(self.member, self.route, self.result, self.report, now);
         if is_ejected {
-            self.host.lost.notify_one();
+            self.host.node_unreachable.notify_one();
             note!(
                 self.host.journal,
                 Event::Ejected,
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -9,7 +9,7 @@
 };
 
 use rilltrack::{
-    coordination::link::Words,
+    coordination::interface::Decoders,
     document::Document,
     host::{self, Process, Settings},
     id::Instance,
@@ -90,10 +90,10 @@
         });
         let document = Document::parse("host", &settings.to_string()).unwrap();
         let settings = Settings::from_document(&document).unwrap();
-        let words = Words {
+        let decoders = Decoders {
             routes: Arc::new(config::decode),
             order: Arc::new(rollout::decode),
-            announcement: Arc::new(heartbeat::decode),
+            target_call: Arc::new(heartbeat::decode),
             acknowledgement: heartbeat::ACKNOWLEDGEMENT.into(),
             dialect: request::dialect(),
         };
@@ -102,7 +102,7 @@
         // has noticed the stop.
         let process = loop {
             let store = store::store(self.store.address);
-            match Process::start(settings.clone(), store, words.clone()) {
+            match Process::start(settings.clone(), store, decoders.clone()) {
                 Ok(process) => break process,
                 Err(host::Error::Transport(transport::Error::Listen { source, .. }))
                     if source.kind() == std::io::ErrorKind::AddrInUse =>
@@ -131,7 +131,7 @@
 
     /// Returns the stage of a service's latest roll-out, as known to this node.
     pub fn rollout(&self, service: &str) -> Option<String> {
-        let rollouts = self.process.as_ref().unwrap().host.rollouts.all();
+        let rollouts = self.process.as_ref().unwrap().host.rollouts.latest();
         let rollout = rollouts.iter().find(|r| r.service.as_str() == service)?;
         Some(format!("{:?}", rollout.stage))
     }
@@ -143,21 +143,21 @@
 
     /// Returns whether the node is a reader of the store and its reads fail.
     pub fn is_blind(&self) -> bool {
-        self.process.as_ref().unwrap().host.seen().blind > 0
+        self.process.as_ref().unwrap().host.progress().blind > 0
     }
 
     /// Returns the share of its target's running requests that are repeats: requests that
     /// a target has already seen.
     pub fn repeats(&self) -> f64 {
-        self.process.as_ref().unwrap().host.gate.repeats()
+        self.process.as_ref().unwrap().host.gate.repeat_share()
     }
 
     /// Returns how many first sends for a service this node counts as calls of repeats.
     pub fn carried(&self, service: &str) -> f64 {
-        let allowance = self.process.as_ref().unwrap().host.allowance.lock();
-        let mut all = allowance.all(1, std::time::Instant::now());
+        let budget = self.process.as_ref().unwrap().host.retry_budget.lock();
+        let mut all = budget.usage(1, std::time::Instant::now());
         let found = all.find(|(name, _)| name.as_str() == service);
-        found.map_or(0.0, |(_, used)| used.carried)
+        found.map_or(0.0, |(_, used)| used.repeat_calls)
     }
 
     /// Returns whether this node knows a target on host `other` that isn't draining.
--- a/standins/src/load/fleet.rs
+++ b/standins/src/load/fleet.rs
@@ -8,7 +8,8 @@
 
 use rilltrack::{
     coordination::decision::{
-        age::Ages, allowance::Allowance, balance::Balance, line::Line, queue::Queue, runs::Runs,
+        age::Ages, balance::Balancer, link_share::LinkShare, queue::Queue,
+        retry_budget::RetryBudget, runs::Runs,
     },
     id::{Incarnation, Name},
     state::{
@@ -28,13 +29,13 @@
     pub index: usize,
     /// The relative speed of its target; 2 halves the run time.
     pub speed: f64,
-    pub balance: Balance,
+    pub balancer: Balancer,
     pub queue: Queue<usize>,
     pub runs: Runs,
-    pub line: Line,
+    pub link_share: LinkShare,
     /// When its link will have carried all admitted bodies, from the start of the load.
     pub free: Duration,
-    pub allowance: Allowance,
+    pub retry_budget: RetryBudget,
     pub ages: Ages,
 }
 
@@ -69,12 +70,12 @@
                     // Assigned in turn within a failure domain, so that each domain has all
                     // speeds.
                     speed: of.speeds[(index / load.domains) % of.speeds.len()],
-                    balance: Balance::default(),
+                    balancer: Balancer::default(),
                     queue,
                     runs: Runs::default(),
-                    line: Line::new(of.bandwidth),
+                    link_share: LinkShare::new(of.bandwidth),
                     free: Duration::ZERO,
-                    allowance: Allowance::new(rule),
+                    retry_budget: RetryBudget::new(rule),
                     ages: Ages::default(),
                 });
             }
--- a/standins/src/load/mod.rs
+++ b/standins/src/load/mod.rs
@@ -22,10 +22,10 @@
 //! assert_eq!(figures, run(&load, 1));
 //! ```
 //!
-//! [`Balance`]: rilltrack::coordination::decision::balance::Balance
+//! [`Balancer`]: rilltrack::coordination::decision::balance::Balancer
 //! [`Queue`]: rilltrack::coordination::decision::queue::Queue
-//! [`Allowance`]: rilltrack::coordination::decision::allowance::Allowance
-//! [`Tries`]: rilltrack::coordination::decision::tries::Tries
+//! [`RetryBudget`]: rilltrack::coordination::decision::retry_budget::RetryBudget
+//! [`Attempts`]: rilltrack::coordination::decision::attempts::Attempts
 
 mod figures;
 mod file;
@@ -34,7 +34,7 @@
 
 use std::{ops::Range, time::Duration};
 
-use rilltrack::{coordination::decision::allowance::Rule, state::routing};
+use rilltrack::{coordination::decision::retry_budget::Rule, state::routing};
 
 pub use figures::{Arrivals, Count, Figures, Took};
 pub use file::Experiment;
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -20,15 +20,15 @@
         self,
         decision::{
             age::Ages,
-            allowance::{Again, Allowance, Rule},
-            balance::{Balance, Choice, End, Report, Wish},
-            reach::Loss,
+            balance::{AttemptResult, Balancer, Choice, Criteria, Report},
+            reach,
+            retry_budget::{Retry, RetryBudget, Rule},
             split::Split,
         },
         flow::Flow,
         gate::{self, Arrival, Gate},
         host::Host,
-        link::{Ask, Question, Records, Store, Stream, Words},
+        interface::{CallPeer, Decoders, PeerRequest, Records, Store, Stream},
         local::{Change, Local},
         presence, rank, source,
     },
@@ -40,8 +40,8 @@
         announce::Heartbeat,
         answer::Outcome,
         dialect::{Dialect, Load},
-        hop::{self, Told},
-        news::{Members as News, Seen},
+        hop,
+        update::{Members as MembersUpdate, Progress},
     },
     state::{
         member::{Member, Status, Table, Target},
@@ -133,18 +133,18 @@
 }
 
 /// Chooses a target of service `a` for a request of route `r` from the domain `here`.
-fn choose(balance: &mut Balance, table: &Table, bytes: usize, now: Instant) -> Option<Choice> {
+fn choose(balancer: &mut Balancer, table: &Table, bytes: usize, now: Instant) -> Option<Choice> {
     let (route, service, domain) = (name("r"), name("a"), name("here"));
     let me = "me".parse().unwrap();
-    let criteria = Wish {
+    let criteria = Criteria {
         node: &me,
         route: &route,
         service: &service,
         domain: &domain,
         bytes,
-        own: Load::default(),
+        own_load: Load::default(),
     };
-    balance.choose(table, criteria, |_| true, now)
+    balancer.choose(table, criteria, |_| true, now)
 }
 
 /// Checks that in each window of 10 s the retries are at least one, and at most a fifth of the
@@ -172,15 +172,19 @@
             "resend": {{"ratio": 0.2, "slack": 62, "window": "10s"}}, "descriptors": 1024}}"#
     );
     let document = Document::parse("host", &settings).unwrap();
-    let words = Words {
+    let decoders = Decoders {
         routes: Arc::new(|_| unreachable!("the test decodes no version")),
         order: Arc::new(|_| unreachable!("the test decodes no order")),
-        announcement: Arc::new(|_, _, _| unreachable!("no target calls in this test")),
+        target_call: Arc::new(|_, _, _| unreachable!("no target calls in this test")),
         acknowledgement: Default::default(),
         dialect: Dialect::default(),
     };
     let journal = Journal::start_json("me", Box::new(std::io::sink()));
-    Host::new(Settings::from_document(&document).unwrap(), words, journal)
+    Host::new(
+        Settings::from_document(&document).unwrap(),
+        decoders,
+        journal,
+    )
 }
 
 /// A store that accepts every write, and the members written to it.
@@ -195,8 +199,8 @@
             sender.send(member).unwrap();
             async { Ok(()) }.boxed()
         }),
-        said: Arc::new(|_| std::future::pending().boxed()),
-        say: Arc::new(|_, _| std::future::pending().boxed()),
+        read_status: Arc::new(|_| std::future::pending().boxed()),
+        write_status: Arc::new(|_, _| std::future::pending().boxed()),
     };
     (store, written)
 }
@@ -211,14 +215,14 @@
 async fn first_version(before: usize) -> (usize, u64) {
     let mut host = host("here");
     let decoded = |_: &[u8]| Ok(table(vec![route("r", "h", "/", &[("a", 1)])]).unwrap());
-    host.words.routes = Arc::new(decoded);
+    host.decoders.routes = Arc::new(decoded);
     let host = Arc::new(host);
     let member_with_wide_link = |i| Member {
         bandwidth: 1_000,
         ..member(&format!("n{i}"), "here", 10)
     };
-    host.take_members((0..before).map(member_with_wide_link).collect(), "store");
-    host.known_to(Stream::Members, 1);
+    host.merge_members((0..before).map(member_with_wide_link).collect(), "store");
+    host.advance_offset(Stream::Members, 1);
     let reads = Arc::new(AtomicUsize::new(0));
     let read_count = reads.clone();
     let store = Store {
@@ -237,9 +241,9 @@
         ..recording_store().0
     };
     let progress_requests = Arc::new(AtomicUsize::new(0));
-    let ask: Ask = Arc::new(move |_, request| {
+    let ask: CallPeer = Arc::new(move |_, request| {
         let version = match request {
-            Question::Seen
+            PeerRequest::Progress
                 if progress_requests.fetch_add(1, Ordering::SeqCst) >= REQUESTS_WITHOUT_VERSION =>
             {
                 3
@@ -247,15 +251,15 @@
             _ => 0,
         };
         let answer = match request {
-            Question::Routes(_) => {
+            PeerRequest::Routes(_) => {
                 let delta = table(vec![route("r", "h", "/", &[("a", 1)])])
                     .unwrap()
                     .since(None);
                 rmp_serde::to_vec(&delta).unwrap()
             }
-            _ => rmp_serde::to_vec_named(&Seen {
+            _ => rmp_serde::to_vec_named(&Progress {
                 version,
-                ..Seen::default()
+                ..Progress::default()
             })
             .unwrap(),
         };
@@ -294,9 +298,9 @@
 fn arrival(priority: u8, max_wait: u64) -> Arrival {
     Arrival {
         priority,
-        patience: Duration::from_millis(max_wait),
+        max_wait: Duration::from_millis(max_wait),
         due: Instant::now() + Duration::from_secs(1),
-        usual: None,
+        usual_run_time: None,
     }
 }
 
@@ -483,43 +487,43 @@
         let mut rng = fastrand::Rng::with_seed(21);
         let span = |rng: &mut fastrand::Rng| Span::from_millis(rng.u64(0..100_000));
         for i in 0..500 {
-            let ask = hop::Ask {
+            let request = hop::Request {
                 to: format!("n-{i}").parse().unwrap(),
                 service: name(&format!("s{i}.x")),
                 priority: rng.u8(..),
-                patience: span(&mut rng),
-                due: span(&mut rng),
+                max_wait: span(&mut rng),
+                due_in: span(&mut rng),
                 deadline: span(&mut rng),
-                usual: rng.bool().then(|| span(&mut rng)),
-                answer: rng.usize(..1 << 20),
-                faults: rng.u16(..=1000),
-                is_again: rng.bool(),
+                usual_run_time: rng.bool().then(|| span(&mut rng)),
+                usual_answer_size: rng.usize(..1 << 20),
+                fault_permille: rng.u16(..=1000),
+                is_repeat: rng.bool(),
             };
-            assert_eq!(ask.to_string().parse(), Ok(ask.clone()));
-            let told = Told {
+            assert_eq!(request.to_string().parse(), Ok(request.clone()));
+            let reply = hop::Reply {
                 outcome: [Outcome::Answered, Outcome::NotRun, Outcome::Unknown][rng.usize(..3)],
-                arrived: rng.bool(),
+                has_arrived: rng.bool(),
                 version: rng.u64(..),
-                members: rng.u64(..),
+                members_offset: rng.u64(..),
                 load: Load { running: rng.u32(..), waiting: rng.u32(..), slots: rng.u32(..) },
-                pace: format!("{:.2}", 0.2 + rng.f64()).parse().unwrap(),
-                ran: rng.bool().then(|| span(&mut rng)),
+                slowdown: format!("{:.2}", 0.2 + rng.f64()).parse().unwrap(),
+                run_time: rng.bool().then(|| span(&mut rng)),
                 retry_after: rng.bool().then(|| span(&mut rng)),
                 reason: ["", "target is full", "a; b;; c"][rng.usize(..3)].into(),
             };
-            assert_eq!(told.to_string().parse(), Ok(told.clone()));
+            assert_eq!(reply.to_string().parse(), Ok(reply.clone()));
             // A header that is truncated or has one byte changed does not parse or has another
             // value; parsing it does not panic.
-            let text = ask.to_string();
+            let text = request.to_string();
             let truncated = &text[..rng.usize(..text.len())];
-            assert!(truncated.parse::<hop::Ask>().is_ok_and(|other| other != ask) || truncated.parse::<hop::Ask>().is_err());
-            let mut bytes = told.to_string().into_bytes();
+            assert!(truncated.parse::<hop::Request>().is_ok_and(|other| other != request) || truncated.parse::<hop::Request>().is_err());
+            let mut bytes = reply.to_string().into_bytes();
             let at = rng.usize(..bytes.len());
             bytes[at] = rng.u8(b' '..b'~');
-            let _ = String::from_utf8(bytes).unwrap().parse::<Told>();
+            let _ = String::from_utf8(bytes).unwrap().parse::<hop::Reply>();
         }
         for bad in ["", ";;;;;;", "n;s;1;2;3;4", "n;s;-1;2;3;4;5", "N;s;1;2;3;4;5", "n;s;1;2;3;;5"] {
-            assert!(bad.parse::<hop::Ask>().is_err(), "{bad}");
+            assert!(bad.parse::<hop::Request>().is_err(), "{bad}");
         }
     }
 
@@ -528,18 +532,18 @@
         let outflow = Flow::new(15);
         let slack = Duration::from_millis(500);
         let mut reserved = Vec::new();
-        while let Ok(reservation) = outflow.count_in(90_000, slack) {
+        while let Ok(reservation) = outflow.reserve(90_000, slack) {
             reserved.push(reservation);
         }
         assert_eq!(reserved.len(), 9);
-        let excess = outflow.count_in(90_000, slack).unwrap_err();
+        let excess = outflow.reserve(90_000, slack).unwrap_err();
         assert!(excess < Duration::from_millis(54), "{excess:?}");
         reserved.pop();
-        assert!(outflow.count_in(90_000, slack).is_ok(), "one answer was sent");
+        assert!(outflow.reserve(90_000, slack).is_ok(), "one answer was sent");
         reserved.clear();
-        let alone = outflow.count_in(90_000_000, slack);
+        let alone = outflow.reserve(90_000_000, slack);
         assert!(alone.is_ok(), "an answer that is alone is accepted");
-        assert!((0..100).all(|_| Flow::new(0).count_in(90_000, Duration::ZERO).is_ok()));
+        assert!((0..100).all(|_| Flow::new(0).reserve(90_000, Duration::ZERO).is_ok()));
     }
 
     request_age_is_the_time_its_caller_has_used => {
@@ -590,16 +594,16 @@
         let service = name("a");
         let begin = Instant::now();
         let nodes = 13;
-        let mut fleet: Vec<Allowance> = (0..nodes).map(|_| Allowance::new(rule)).collect();
+        let mut fleet: Vec<RetryBudget> = (0..nodes).map(|_| RetryBudget::new(rule)).collect();
         let (mut first, mut retries) = (Vec::new(), Vec::new());
         for step in 0..40_000u64 {
             let now = begin + Duration::from_millis(step);
             // The traffic shifts from node to node.
             let busy = (step / 3000) as usize % nodes;
             let node = if rng.bool() { busy } else { rng.usize(..nodes) };
-            fleet[node].earn(&service, 0.0, now);
+            fleet[node].note_first_send(&service, 0.0, now);
             first.push(step);
-            if rng.f64() < 0.6 && fleet[node].spend(&service, Again::NotRun, nodes, now) {
+            if rng.f64() < 0.6 && fleet[node].spend(&service, Retry::NotRun, nodes, now) {
                 retries.push(step);
             }
         }
@@ -612,12 +616,12 @@
         let rule = Rule { ratio: 0.2, slack: 0.0, window: Duration::from_secs(10) };
         let service = name("a");
         let begin = Instant::now();
-        let mut allowance = Allowance::new(rule);
+        let mut budget = RetryBudget::new(rule);
         let mut retries = Vec::new();
         for step in 0..3000u64 {
             let now = begin + Duration::from_millis(step * 10);
-            allowance.earn(&service, 0.0, now);
-            if step > 1200 && allowance.spend(&service, Again::NotRun, 1, now) {
+            budget.note_first_send(&service, 0.0, now);
+            if step > 1200 && budget.spend(&service, Retry::NotRun, 1, now) {
                 retries.push(step);
             }
         }
@@ -635,11 +639,11 @@
         let now = Instant::now();
         // Of 100 requests 20 may be repeated. The node itself retries 14, and fewer if some of
         // the 100 are calls of repeats.
-        for (carried, left) in [(0.0, 14), (0.1, 4), (0.2, 0)] {
-            let mut allowance = Allowance::new(rule);
-            (0..100).for_each(|_| allowance.earn(&service, carried, now));
-            let spent = (0..100).filter(|_| allowance.spend(&service, Again::NotRun, 1, now));
-            assert_eq!(spent.count(), left, "{carried}");
+        for (repeat_chance, left) in [(0.0, 14), (0.1, 4), (0.2, 0)] {
+            let mut budget = RetryBudget::new(rule);
+            (0..100).for_each(|_| budget.note_first_send(&service, repeat_chance, now));
+            let spent = (0..100).filter(|_| budget.spend(&service, Retry::NotRun, 1, now));
+            assert_eq!(spent.count(), left, "{repeat_chance}");
         }
     }
 
@@ -647,17 +651,17 @@
         let rule = Rule { ratio: 0.2, slack: 0.0, window: Duration::from_secs(10) };
         let (called, other) = (name("a"), name("b"));
         let begin = Instant::now();
-        let mut allowance = Allowance::new(rule);
-        assert!(allowance.carries(1, begin));
-        (0..100).for_each(|_| allowance.earn(&other, 0.0, begin));
-        (0..90).for_each(|_| allowance.earn(&called, 0.0, begin));
-        assert!(allowance.carries(1, begin));
+        let mut budget = RetryBudget::new(rule);
+        assert!(budget.has_room_for_calls(1, begin));
+        (0..100).for_each(|_| budget.note_first_send(&other, 0.0, begin));
+        (0..90).for_each(|_| budget.note_first_send(&called, 0.0, begin));
+        assert!(budget.has_room_for_calls(1, begin));
         // All of these are calls of repeats.
-        (0..20).for_each(|_| allowance.earn(&called, 1.0, begin));
-        assert!(!allowance.carries(1, begin));
+        (0..20).for_each(|_| budget.note_first_send(&called, 1.0, begin));
+        assert!(!budget.has_room_for_calls(1, begin));
         // They no longer count once the window and the step in which they were sent have passed.
         let later = begin + Duration::from_millis(11_001);
-        assert!(allowance.carries(1, later));
+        assert!(budget.has_room_for_calls(1, later));
     }
 
     retry_budget_includes_the_calls_of_repeats => {
@@ -666,24 +670,24 @@
         let (parents, calls) = (name("a"), name("b"));
         let begin = Instant::now();
         let nodes = 13;
-        let mut fleet: Vec<Allowance> = (0..nodes).map(|_| Allowance::new(rule)).collect();
+        let mut fleet: Vec<RetryBudget> = (0..nodes).map(|_| RetryBudget::new(rule)).collect();
         let (mut first, mut retries) = (Vec::new(), Vec::new());
         for step in 0..40_000u64 {
             let now = begin + Duration::from_millis(step);
-            let allowance = &mut fleet[rng.usize(0..nodes)];
-            allowance.earn(&parents, 0.0, now);
+            let budget = &mut fleet[rng.usize(0..nodes)];
+            budget.note_first_send(&parents, 0.0, now);
             // Under overload only every third request is admitted by the gate of its target.
             if step / 10_000 % 2 == 1 && step % 3 != 0 {
                 continue;
             }
             // Each admitted request makes two calls, and half of all requests fail at either service.
-            allowance.arrive(&parents, now);
-            let repeats = rng.bool() && allowance.spend(&parents, Again::Repeated, nodes, now);
+            budget.note_arrival(&parents, now);
+            let repeats = rng.bool() && budget.spend(&parents, Retry::Repeated, nodes, now);
             for run in 0..1 + u32::from(repeats) {
                 for _ in 0..2 {
-                    fleet[rng.usize(0..nodes)].earn(&calls, 0.0, now);
+                    fleet[rng.usize(0..nodes)].note_first_send(&calls, 0.0, now);
                     if run == 0 { first.push(step) } else { retries.push(step) }
-                    if rng.bool() && fleet[rng.usize(0..nodes)].spend(&calls, Again::NotRun, nodes, now) {
+                    if rng.bool() && fleet[rng.usize(0..nodes)].spend(&calls, Retry::NotRun, nodes, now) {
                         retries.push(step);
                     }
                 }
@@ -694,12 +698,12 @@
 
     nearest_target_is_preferred_until_it_is_full => {
         let table = members(&[("n1", "here"), ("f1", "there"), ("f2", "there")]);
-        let mut balance = Balance::default();
+        let mut balancer = Balancer::default();
         let now = Instant::now();
         let mut chosen = Vec::new();
         for _ in 0..20 {
-            let choice = choose(&mut balance, &table, 0, now).unwrap();
-            balance.start(&choice.member, now);
+            let choice = choose(&mut balancer, &table, 0, now).unwrap();
+            balancer.start(&choice.member, now);
             chosen.push(choice.member.node.to_string());
         }
         assert!(chosen[..5].iter().all(|node| node == "n1"), "{chosen:?}");
@@ -711,19 +715,19 @@
 
     faster_remote_target_gets_lookups_but_no_uploads => {
         let table = members(&[("n1", "here"), ("f1", "there")]);
-        let mut balance = Balance::default();
+        let mut balancer = Balancer::default();
         let now = Instant::now();
         for _ in 0..100 {
             for (node, took) in [("n1", 150), ("f1", 100)] {
                 let member = table.get(&node.parse().unwrap()).unwrap().clone();
-                balance.start(&member, now);
-                let end = End::Answered(Duration::from_millis(took));
-                balance.finish(&member, &name("r"), end, Report::default(), now);
+                balancer.start(&member, now);
+                let end = AttemptResult::Answered(Duration::from_millis(took));
+                balancer.finish(&member, &name("r"), end, Report::default(), now);
             }
         }
-        let lookup = choose(&mut balance, &table, 100, now).unwrap();
+        let lookup = choose(&mut balancer, &table, 100, now).unwrap();
         assert_eq!(lookup.member.node.as_str(), "f1");
-        let upload = choose(&mut balance, &table, 100 << 10, now).unwrap();
+        let upload = choose(&mut balancer, &table, 100 << 10, now).unwrap();
         assert_eq!(upload.member.node.as_str(), "n1");
     }
 
@@ -731,160 +735,160 @@
         let table = members(&[("n1", "here"), ("n2", "there")]);
         let route = name("r");
         let now = Instant::now();
-        let mut balance = Balance::default();
+        let mut balancer = Balancer::default();
         let near = table.get(&"n1".parse().unwrap()).unwrap().clone();
         // Nine of ten slots are taken in the domain `here`, and none in `there`.
         for _ in 0..9 {
-            balance.start(&near, now);
+            balancer.start(&near, now);
         }
-        let chosen_node = |balance: &mut Balance| choose(balance, &table, 0, now).unwrap().member.node.to_string();
-        balance.note_size(&route, 2_000);
-        assert_eq!(chosen_node(&mut balance), "n2");
+        let chosen_node = |balancer: &mut Balancer| choose(balancer, &table, 0, now).unwrap().member.node.to_string();
+        balancer.record_answer_size(&route, 2_000);
+        assert_eq!(chosen_node(&mut balancer), "n2");
         for _ in 0..40 {
-            balance.note_size(&route, 90_000);
+            balancer.record_answer_size(&route, 90_000);
         }
-        assert_eq!(chosen_node(&mut balance), "n1");
+        assert_eq!(chosen_node(&mut balancer), "n1");
     }
 
     large_answers_avoid_a_slow_network_path => {
         let table = members(&[("n1", "here"), ("n2", "here")]);
         let route = name("r");
         let now = Instant::now();
-        let mut balance = Balance::default();
-        balance.note_size(&route, 90_000);
+        let mut balancer = Balancer::default();
+        balancer.record_answer_size(&route, 90_000);
         // Both targets run the request equally fast, but the link of n2 is narrow.
         let run_time = Some(Duration::from_millis(50));
         for _ in 0..40 {
             for (node, took) in [("n1", 60), ("n2", 400)] {
                 let member = table.get(&node.parse().unwrap()).unwrap().clone();
-                balance.start(&member, now);
-                let end = End::Answered(Duration::from_millis(took));
-                let report = Report { ran: run_time, pace: Some("1.00".parse().unwrap()), ..Report::default() };
-                balance.finish(&member, &route, end, report, now);
+                balancer.start(&member, now);
+                let end = AttemptResult::Answered(Duration::from_millis(took));
+                let report = Report { run_time, slowdown: Some("1.00".parse().unwrap()), ..Report::default() };
+                balancer.finish(&member, &route, end, report, now);
             }
         }
         for _ in 0..20 {
-            assert_eq!(choose(&mut balance, &table, 0, now).unwrap().member.node.as_str(), "n1");
+            assert_eq!(choose(&mut balancer, &table, 0, now).unwrap().member.node.as_str(), "n1");
         }
     }
 
     target_reported_slow_is_avoided_until_the_report_expires => {
         let table = members(&[("n1", "here"), ("n2", "here")]);
-        let mut balance = Balance::default();
+        let mut balancer = Balancer::default();
         let now = Instant::now();
         for (node, slowdown) in [("n1", 3.0), ("n2", 0.8)] {
             let member = table.get(&node.parse().unwrap()).unwrap().clone();
-            balance.start(&member, now);
-            let report = Report { pace: Some(slowdown.to_string().parse().unwrap()), ..Report::default() };
+            balancer.start(&member, now);
+            let report = Report { slowdown: Some(slowdown.to_string().parse().unwrap()), ..Report::default() };
             // The time of this one request does not outweigh the report.
-            balance.finish(&member, &name("r"), End::Answered(Duration::from_millis(100)), report, now);
+            balancer.finish(&member, &name("r"), AttemptResult::Answered(Duration::from_millis(100)), report, now);
         }
         let fast = table.get(&"n2".parse().unwrap()).unwrap().clone();
         // One more request at the fast target counts less than the slowdown of the other, and
         // more once that has expired.
         for (later, expected) in [(0, "n2"), (60, "n1")] {
             let at = now + Duration::from_secs(later);
-            balance.start(&fast, at);
-            let chosen = choose(&mut balance, &table, 0, at).unwrap();
+            balancer.start(&fast, at);
+            let chosen = choose(&mut balancer, &table, 0, at).unwrap();
             assert_eq!(chosen.member.node.as_str(), expected);
-            balance.finish(&fast, &name("r"), End::Refused, Report::default(), at);
+            balancer.finish(&fast, &name("r"), AttemptResult::Refused, Report::default(), at);
         }
     }
 
     slow_network_path_does_not_count_as_slowdown => {
         let table = members(&[("n1", "here"), ("n2", "here")]);
-        let mut balance = Balance::default();
+        let mut balancer = Balancer::default();
         let now = Instant::now();
         let run_time = Duration::from_millis(100);
         // The network path to n1 is slow, but its target is as fast as that of n2.
         for (node, took) in [("n1", 400), ("n2", 100)].repeat(50) {
             let member = table.get(&node.parse().unwrap()).unwrap().clone();
-            balance.start(&member, now);
-            let report = Report { ran: Some(run_time), ..Report::default() };
-            balance.finish(&member, &name("r"), End::Answered(Duration::from_millis(took)), report, now);
+            balancer.start(&member, now);
+            let report = Report { run_time: Some(run_time), ..Report::default() };
+            balancer.finish(&member, &name("r"), AttemptResult::Answered(Duration::from_millis(took)), report, now);
         }
-        assert_eq!(balance.usual(&name("r")), Some(run_time));
-        let chosen = (0..60).map(|_| choose(&mut balance, &table, 0, now).unwrap().member.node.to_string());
+        assert_eq!(balancer.mean_run_time(&name("r")), Some(run_time));
+        let chosen = (0..60).map(|_| choose(&mut balancer, &table, 0, now).unwrap().member.node.to_string());
         let to_n1 = chosen.filter(|node| node == "n1").count();
         assert!((10..50).contains(&to_n1), "{to_n1} of 60");
     }
 
     load_of_the_own_target_comes_from_its_gate => {
         let table = members(&[("me", "here"), ("n1", "here")]);
-        let mut balance = Balance::default();
+        let mut balancer = Balancer::default();
         let now = Instant::now();
         let (me, route, service, domain) = ("me".parse().unwrap(), name("r"), name("a"), name("here"));
         for (running, expected) in [(0, "me"), (9, "n1")] {
             let own = Load { running, waiting: 0, slots: 10 };
-            let criteria = Wish { node: &me, route: &route, service: &service, domain: &domain, bytes: 0, own };
+            let criteria = Criteria { node: &me, route: &route, service: &service, domain: &domain, bytes: 0, own_load: own };
             let other = table.get(&"n1".parse().unwrap()).unwrap().clone();
             for _ in 0..running / 3 {
-                balance.start(&other, now);
+                balancer.start(&other, now);
             }
             if running == 0 {
-                balance.start(&other, now);
+                balancer.start(&other, now);
             }
-            let chosen = balance.choose(&table, criteria, |_| true, now).unwrap();
+            let chosen = balancer.choose(&table, criteria, |_| true, now).unwrap();
             assert_eq!(chosen.member.node.as_str(), expected);
         }
     }
 
     reported_load_is_used => {
         let table = members(&[("n1", "here"), ("n2", "here")]);
-        let mut balance = Balance::default();
+        let mut balancer = Balancer::default();
         let now = Instant::now();
         let full = Load { running: 10, waiting: 4, slots: 10 };
         let busy = table.get(&"n1".parse().unwrap()).unwrap().clone();
-        balance.start(&busy, now);
-        balance.finish(&busy, &name("r"), End::Answered(Duration::from_millis(100)), Report { load: Some(full), ..Report::default() }, now);
+        balancer.start(&busy, now);
+        balancer.finish(&busy, &name("r"), AttemptResult::Answered(Duration::from_millis(100)), Report { load: Some(full), ..Report::default() }, now);
         for _ in 0..20 {
-            let choice = choose(&mut balance, &table, 0, now).unwrap();
+            let choice = choose(&mut balancer, &table, 0, now).unwrap();
             assert_eq!(choice.member.node.as_str(), "n2");
         }
     }
 
     leaving_target_is_excluded_briefly_and_a_replaced_one_for_longer => {
         let table = members(&[("n1", "here")]);
-        let mut balance = Balance::default();
+        let mut balancer = Balancer::default();
         let now = Instant::now();
         let only = table.get(&"n1".parse().unwrap()).unwrap().clone();
-        let is_chosen = |balance: &mut Balance, at| choose(balance, &table, 0, at).is_some();
-        let end = |balance: &mut Balance, end| {
-            balance.start(&only, now);
-            balance.finish(&only, &name("r"), end, Report::default(), now)
+        let is_chosen = |balancer: &mut Balancer, at| choose(balancer, &table, 0, at).is_some();
+        let end = |balancer: &mut Balancer, end| {
+            balancer.start(&only, now);
+            balancer.finish(&only, &name("r"), end, Report::default(), now)
         };
-        assert!(end(&mut balance, End::Leaving));
-        assert!(!is_chosen(&mut balance, now + Duration::from_millis(100)));
-        assert!(is_chosen(&mut balance, now + Duration::from_millis(300)));
-        end(&mut balance, End::Refused);
-        assert!(is_chosen(&mut balance, now));
-        assert!(end(&mut balance, End::Replaced));
-        assert!(!is_chosen(&mut balance, now + Duration::from_secs(10)));
+        assert!(end(&mut balancer, AttemptResult::Leaving));
+        assert!(!is_chosen(&mut balancer, now + Duration::from_millis(100)));
+        assert!(is_chosen(&mut balancer, now + Duration::from_millis(300)));
+        end(&mut balancer, AttemptResult::Refused);
+        assert!(is_chosen(&mut balancer, now));
+        assert!(end(&mut balancer, AttemptResult::Replaced));
+        assert!(!is_chosen(&mut balancer, now + Duration::from_secs(10)));
     }
 
     unreachable_node_gets_no_requests_until_it_answers_a_probe => {
         let table = members(&[("n1", "here"), ("f1", "there")]);
-        let mut balance = Balance::default();
+        let mut balancer = Balancer::default();
         let now = Instant::now();
         let unreachable = table.get(&"n1".parse().unwrap()).unwrap().clone();
-        balance.start(&unreachable, now);
-        assert!(balance.finish(&unreachable, &name("r"), End::Lost(Loss::Silent), Report::default(), now));
+        balancer.start(&unreachable, now);
+        assert!(balancer.finish(&unreachable, &name("r"), AttemptResult::Lost(reach::Failure::Silent), Report::default(), now));
         let at = |ms| now + Duration::from_millis(ms);
         for ms in [0, 300, 60_000] {
-            let choice = choose(&mut balance, &table, 0, at(ms)).unwrap();
+            let choice = choose(&mut balancer, &table, 0, at(ms)).unwrap();
             assert_eq!(choice.member.node.as_str(), "f1");
         }
-        assert!(balance.reach.due(&table, at(100)).is_empty());
-        assert_eq!(balance.reach.next(), Some(at(200)));
-        assert_eq!(balance.reach.due(&table, at(200)).len(), 1);
+        assert!(balancer.reachability.due_probes(&table, at(100)).is_empty());
+        assert_eq!(balancer.reachability.next_probe(), Some(at(200)));
+        assert_eq!(balancer.reachability.due_probes(&table, at(200)).len(), 1);
         // There is one probe at a time, and each without an answer delays the next.
-        assert!(balance.reach.due(&table, at(60_000)).is_empty());
-        balance.reach.lose(&unreachable, Loss::Silent, at(450));
-        assert!(balance.reach.due(&table, at(450 + 300)).is_empty());
-        assert_eq!(balance.reach.due(&table, at(450 + 500)).len(), 1);
-        assert!(balance.reach.hear(&unreachable));
-        assert_eq!(choose(&mut balance, &table, 100 << 10, now).unwrap().member.node.as_str(), "n1");
-        assert_eq!(balance.reach.next(), None);
+        assert!(balancer.reachability.due_probes(&table, at(60_000)).is_empty());
+        balancer.reachability.record_failure(&unreachable, reach::Failure::Silent, at(450));
+        assert!(balancer.reachability.due_probes(&table, at(450 + 300)).is_empty());
+        assert_eq!(balancer.reachability.due_probes(&table, at(450 + 500)).len(), 1);
+        assert!(balancer.reachability.record_answer(&unreachable));
+        assert_eq!(choose(&mut balancer, &table, 100 << 10, now).unwrap().member.node.as_str(), "n1");
+        assert_eq!(balancer.reachability.next_probe(), None);
     }
 
     domain_is_excluded_after_consecutive_unreachable_nodes => {
@@ -892,66 +896,66 @@
         let mut list = vec![("n1", "here")];
         list.extend(remote.iter().map(|node| (node.as_str(), "there")));
         let table = members(&list);
-        let mut balance = Balance::default();
+        let mut balancer = Balancer::default();
         let now = Instant::now();
         let at = |ms| now + Duration::from_millis(ms);
         let get = |node: &str| table.get(&node.parse().unwrap()).unwrap().clone();
         // A host that refuses connections shows that the network path to it works.
-        for (node, loss) in [("f0", Loss::Silent), ("f1", Loss::Silent), ("f2", Loss::Closed)] {
-            balance.reach.lose(&get(node), loss, now);
+        for (node, failure) in [("f0", reach::Failure::Silent), ("f1", reach::Failure::Silent), ("f2", reach::Failure::Closed)] {
+            balancer.reachability.record_failure(&get(node), failure, now);
         }
-        assert!(!balance.reach.is_cut(&name("there")));
+        assert!(!balancer.reachability.is_partitioned(&name("there")));
         for node in ["f3", "f4", "f5"] {
-            balance.reach.lose(&get(node), Loss::Silent, at(1000));
+            balancer.reachability.record_failure(&get(node), reach::Failure::Silent, at(1000));
         }
-        assert!(balance.reach.is_lost(&get("f9")), "f9 was not tried, but its domain is unreachable");
+        assert!(balancer.reachability.is_unreachable(&get("f9")), "f9 was not tried, but its domain is unreachable");
         for _ in 0..50 {
-            let choice = choose(&mut balance, &table, 0, at(1000)).unwrap();
+            let choice = choose(&mut balancer, &table, 0, at(1000)).unwrap();
             assert_eq!(choice.member.node.as_str(), "n1");
         }
         // One node is probed for the whole domain.
-        let [probed] = &balance.reach.due(&table, at(5000))[..] else { panic!("not one probe") };
-        assert!(balance.reach.due(&table, at(60_000)).is_empty());
-        balance.reach.hear(probed);
-        assert!(["f4", "f9"].iter().all(|node| !balance.reach.is_lost(&get(node))));
+        let [probed] = &balancer.reachability.due_probes(&table, at(5000))[..] else { panic!("not one probe") };
+        assert!(balancer.reachability.due_probes(&table, at(60_000)).is_empty());
+        balancer.reachability.record_answer(probed);
+        assert!(["f4", "f9"].iter().all(|node| !balancer.reachability.is_unreachable(&get(node))));
     }
 
     partitioned_node_still_uses_its_own_target => {
         let table = members(&[("me", "here"), ("n1", "here"), ("n2", "here"), ("n3", "here")]);
-        let mut balance = Balance::default();
+        let mut balancer = Balancer::default();
         let now = Instant::now();
         for node in ["n1", "n2", "n3"] {
             let member = table.get(&node.parse().unwrap()).unwrap().clone();
-            balance.reach.lose(&member, Loss::Silent, now);
+            balancer.reachability.record_failure(&member, reach::Failure::Silent, now);
         }
-        assert!(balance.reach.is_cut(&name("here")));
-        assert_eq!(choose(&mut balance, &table, 0, now).unwrap().member.node.as_str(), "me");
+        assert!(balancer.reachability.is_partitioned(&name("here")));
+        assert_eq!(choose(&mut balancer, &table, 0, now).unwrap().member.node.as_str(), "me");
     }
 
     late_answer_does_not_make_a_responsive_node_unreachable => {
         let table = members(&[("n1", "here"), ("n2", "here")]);
-        let mut balance = Balance::default();
+        let mut balancer = Balancer::default();
         let now = Instant::now();
         let late = now + Duration::from_secs(3);
         for (node, answered, is_unreachable) in [("n1", late, false), ("n2", now, true)] {
             let member = table.get(&node.parse().unwrap()).unwrap().clone();
-            balance.start(&member, now);
-            balance.start(&member, now);
-            balance.finish(&member, &name("r"), End::Refused, Report::default(), answered);
-            assert_eq!(balance.finish(&member, &name("r"), End::Late, Report::default(), late), is_unreachable);
-            assert_eq!(balance.reach.is_lost(&member), is_unreachable);
+            balancer.start(&member, now);
+            balancer.start(&member, now);
+            balancer.finish(&member, &name("r"), AttemptResult::Refused, Report::default(), answered);
+            assert_eq!(balancer.finish(&member, &name("r"), AttemptResult::Late, Report::default(), late), is_unreachable);
+            assert_eq!(balancer.reachability.is_unreachable(&member), is_unreachable);
         }
     }
 
     node_with_overdue_answers_gets_no_more_requests => {
         let table = members(&[("n1", "here"), ("n2", "here")]);
-        let mut balance = Balance::default();
+        let mut balancer = Balancer::default();
         let now = Instant::now();
         let frozen = table.get(&"n1".parse().unwrap()).unwrap().clone();
-        balance.start(&frozen, now);
+        balancer.start(&frozen, now);
         let later = now + Duration::from_secs(1);
         for _ in 0..20 {
-            let choice = choose(&mut balance, &table, 0, later).unwrap();
+            let choice = choose(&mut balancer, &table, 0, later).unwrap();
             assert_eq!(choice.member.node.as_str(), "n2");
         }
     }
@@ -962,10 +966,10 @@
         leaving.sequence = 2;
         leaving.targets[0].draining = true;
         table.merge(leaving);
-        let mut balance = Balance::default();
+        let mut balancer = Balancer::default();
         for _ in 0..20 {
             let choice =
-                choose(&mut balance, &table, 0, Instant::now()).unwrap();
+                choose(&mut balancer, &table, 0, Instant::now()).unwrap();
             assert_eq!(choice.member.node.as_str(), "n2");
         }
     }
@@ -973,19 +977,19 @@
     late_heartbeat_does_not_undo_a_drain => {
         let mut local = Local::new(Span::from_millis(1500));
         let now = Instant::now();
-        local.recall(None, Instant::now());
-        assert_eq!(local.hear(&heartbeat("i1", 1, false), now), Change::Told);
+        local.restore(None, Instant::now());
+        assert_eq!(local.apply_heartbeat(&heartbeat("i1", 1, false), now), Change::Publish);
         assert!(local.open().is_some());
-        assert_eq!(local.hear(&heartbeat("i1", 3, true), now), Change::Told);
+        assert_eq!(local.apply_heartbeat(&heartbeat("i1", 3, true), now), Change::Publish);
         assert!(local.open().is_none());
-        assert_eq!(local.hear(&heartbeat("i1", 2, false), now), Change::Nothing);
-        assert_eq!(local.hear(&heartbeat("i1", 4, false), now), Change::Nothing);
+        assert_eq!(local.apply_heartbeat(&heartbeat("i1", 2, false), now), Change::Nothing);
+        assert_eq!(local.apply_heartbeat(&heartbeat("i1", 4, false), now), Change::Nothing);
         assert!(local.open().is_none());
         // A new instance of the target opens the gate again; late heartbeats of the old one
         // then change nothing.
-        assert_eq!(local.hear(&heartbeat("i2", 1, false), now), Change::Told);
+        assert_eq!(local.apply_heartbeat(&heartbeat("i2", 1, false), now), Change::Publish);
         assert!(local.open().is_some());
-        assert_eq!(local.hear(&heartbeat("i1", 5, false), now), Change::Nothing);
+        assert_eq!(local.apply_heartbeat(&heartbeat("i1", 5, false), now), Change::Nothing);
         assert_eq!(local.open().unwrap().instance, "i2".into());
     }
 
@@ -997,14 +1001,14 @@
         for heartbeat_first in [false, true] {
             let mut local = Local::new(Span::from_millis(1500));
             if heartbeat_first {
-                local.hear(&heartbeat("i1", 7, false), now);
+                local.apply_heartbeat(&heartbeat("i1", 7, false), now);
             }
             // The gate stays closed until the recorded state is restored.
             assert!(local.open().is_none());
-            local.recall(Some(&written), now);
-            local.hear(&heartbeat("i1", 8, false), now);
+            local.restore(Some(&written), now);
+            local.apply_heartbeat(&heartbeat("i1", 8, false), now);
             assert!(local.open().is_none());
-            local.hear(&heartbeat("i2", 1, false), now);
+            local.apply_heartbeat(&heartbeat("i2", 1, false), now);
             assert!(local.open().is_some());
         }
     }
@@ -1014,50 +1018,50 @@
         let mut written = member("n1", "here", 4);
         written.targets[0].instance = "i2".into();
         let mut local = Local::new(Span::from_millis(1500));
-        local.recall(Some(&written), now);
+        local.restore(Some(&written), now);
         // The node does not know i1, which crashed before i2 started.
-        local.hear(&heartbeat("i1", 9, false), now);
-        local.hear(&heartbeat("i2", 4, false), now);
+        local.apply_heartbeat(&heartbeat("i1", 9, false), now);
+        local.apply_heartbeat(&heartbeat("i2", 4, false), now);
         // Once i1 is marked unreachable, since i2 answers at its address or nothing does, i2 is
         // accepted again.
-        assert!(local.doubt(&"i1".into()));
-        assert_eq!(local.hear(&heartbeat("i2", 5, false), now), Change::Told);
+        assert!(local.mark_unreachable(&"i1".into()));
+        assert_eq!(local.apply_heartbeat(&heartbeat("i2", 5, false), now), Change::Publish);
         assert_eq!(local.open().unwrap().instance, "i2".into());
-        assert_eq!(local.hear(&heartbeat("i1", 10, false), now), Change::Nothing);
+        assert_eq!(local.apply_heartbeat(&heartbeat("i1", 10, false), now), Change::Nothing);
         // An instance that left stays gone, whichever others send heartbeats.
-        local.hear(&heartbeat("i2", 6, true), now);
-        local.hear(&heartbeat("i3", 1, false), now);
-        assert!(local.doubt(&"i3".into()));
-        assert_eq!(local.hear(&heartbeat("i2", 7, false), now), Change::Nothing);
+        local.apply_heartbeat(&heartbeat("i2", 6, true), now);
+        local.apply_heartbeat(&heartbeat("i3", 1, false), now);
+        assert!(local.mark_unreachable(&"i3".into()));
+        assert_eq!(local.apply_heartbeat(&heartbeat("i2", 7, false), now), Change::Nothing);
         assert!(local.open().is_none());
     }
 
     restarted_target_with_the_same_id_is_a_new_instance => {
         let now = Instant::now();
         let mut local = Local::new(Span::from_millis(1500));
-        local.recall(None, now);
-        local.hear(&heartbeat("i1@100", 9, false), now);
+        local.restore(None, now);
+        local.apply_heartbeat(&heartbeat("i1@100", 9, false), now);
         // The sequence numbers of the new instance start from the beginning.
-        assert_eq!(local.hear(&heartbeat("i1@200", 1, false), now), Change::Told);
+        assert_eq!(local.apply_heartbeat(&heartbeat("i1@200", 1, false), now), Change::Publish);
         assert_eq!(local.open().unwrap().instance, "i1@200".into());
         // Delayed heartbeats of the earlier instance change nothing, nor do its drain and its
         // leave call.
         for late in [heartbeat("i1@100", 10, false), heartbeat("i1@100", 11, true)] {
-            assert_eq!(local.hear(&late, now), Change::Nothing);
+            assert_eq!(local.apply_heartbeat(&late, now), Change::Nothing);
             assert_eq!(local.open().unwrap().instance, "i1@200".into());
         }
         assert_eq!(local.leave(&"i1@100".into()), Change::Nothing);
         assert_eq!(local.open().unwrap().instance, "i1@200".into());
         // A heartbeat without a start time comes from another sender.
         for other in ["i1", "i2"] {
-            assert_eq!(local.hear(&heartbeat(other, 50, true), now), Change::Nothing);
+            assert_eq!(local.apply_heartbeat(&heartbeat(other, 50, true), now), Change::Nothing);
             assert_eq!(local.open().unwrap().instance, "i1@200".into());
         }
         // The drain of the instance holds, and does not apply to a third instance.
-        assert_eq!(local.hear(&heartbeat("i1@200", 2, true), now), Change::Told);
-        assert_eq!(local.hear(&heartbeat("i1@200", 3, false), now), Change::Nothing);
+        assert_eq!(local.apply_heartbeat(&heartbeat("i1@200", 2, true), now), Change::Publish);
+        assert_eq!(local.apply_heartbeat(&heartbeat("i1@200", 3, false), now), Change::Nothing);
         assert!(local.open().is_none() && local.is_leaving());
-        assert_eq!(local.hear(&heartbeat("i1@300", 1, false), now), Change::Told);
+        assert_eq!(local.apply_heartbeat(&heartbeat("i1@300", 1, false), now), Change::Publish);
         assert_eq!(local.open().unwrap().instance, "i1@300".into());
     }
 
@@ -1069,13 +1073,13 @@
             written.targets[0].draining = draining;
             let mut local = Local::new(Span::from_millis(1500));
             if late_first {
-                local.hear(&heartbeat("i1@100", 9, !draining), now);
+                local.apply_heartbeat(&heartbeat("i1@100", 9, !draining), now);
             }
-            local.recall(Some(&written), now);
-            local.hear(&heartbeat("i1@100", 9, !draining), now);
+            local.restore(Some(&written), now);
+            local.apply_heartbeat(&heartbeat("i1@100", 9, !draining), now);
             assert_eq!(local.open().is_some(), !draining, "late first: {late_first}");
             assert_eq!(local.is_leaving(), draining);
-            local.hear(&heartbeat("i1@300", 1, false), now);
+            local.apply_heartbeat(&heartbeat("i1@300", 1, false), now);
             assert_eq!(local.open().unwrap().instance, "i1@300".into());
         }
     }
@@ -1083,34 +1087,34 @@
     target_whose_clock_was_set_back_is_not_excluded => {
         let now = Instant::now();
         let mut local = Local::new(Span::from_millis(1500));
-        local.recall(None, now);
-        local.hear(&heartbeat("i1@9000", 1, false), now);
+        local.restore(None, now);
+        local.apply_heartbeat(&heartbeat("i1@9000", 1, false), now);
         // The target crashed, and the host's clock was set back before the target restarted.
-        assert_eq!(local.hear(&heartbeat("i1@4000", 1, false), now), Change::Nothing);
-        assert!(local.fell_silent(now + Duration::from_secs(7)));
-        assert_eq!(local.hear(&heartbeat("i1@4000", 5, false), now), Change::Told);
+        assert_eq!(local.apply_heartbeat(&heartbeat("i1@4000", 1, false), now), Change::Nothing);
+        assert!(local.check_missed_heartbeats(now + Duration::from_secs(7)));
+        assert_eq!(local.apply_heartbeat(&heartbeat("i1@4000", 5, false), now), Change::Publish);
         assert_eq!(local.open().unwrap().instance, "i1@4000".into());
         // If it was a late heartbeat after all, the next one of the running instance replaces it.
-        assert_eq!(local.hear(&heartbeat("i1@9000", 2, false), now), Change::Told);
+        assert_eq!(local.apply_heartbeat(&heartbeat("i1@9000", 2, false), now), Change::Publish);
         assert_eq!(local.open().unwrap().instance, "i1@9000".into());
     }
 
     failures_of_an_instance_do_not_count_against_the_next => {
         let mut table = members(&[("n1", "here"), ("n2", "here")]);
-        let mut balance = Balance::default();
+        let mut balancer = Balancer::default();
         let now = Instant::now();
         let old = table.get(&"n1".parse().unwrap()).unwrap().clone();
         for _ in 0..8 {
-            balance.start(&old, now);
-            balance.finish(&old, &name("r"), End::Failed, Report::default(), now);
+            balancer.start(&old, now);
+            balancer.finish(&old, &name("r"), AttemptResult::Failed, Report::default(), now);
         }
-        assert_eq!(choose(&mut balance, &table, 0, now).unwrap().member.node.as_str(), "n2");
+        assert_eq!(choose(&mut balancer, &table, 0, now).unwrap().member.node.as_str(), "n2");
         let mut restarted = Member::clone(&old);
         restarted.sequence += 1;
         restarted.targets[0].instance = Instance::new(old.targets[0].instance.id(), Some(7));
         table.merge(restarted);
         let chosen: Vec<_> = (0..40)
-            .map(|_| choose(&mut balance, &table, 0, now).unwrap().member.node.to_string())
+            .map(|_| choose(&mut balancer, &table, 0, now).unwrap().member.node.to_string())
             .collect();
         assert!(chosen.iter().any(|node| node == "n1"), "{chosen:?}");
     }
@@ -1130,27 +1134,27 @@
         let mut written = member("n1", "here", 4);
         written.targets[0].instance = "i1".into();
         let mut local = Local::new(Span::from_millis(1500));
-        local.recall(Some(&written), now);
+        local.restore(Some(&written), now);
         assert_eq!(local.open().unwrap().instance, "i1".into());
-        assert!(!local.doubt(&"i0".into()), "another instance than the current one");
-        assert!(local.doubt(&"i1".into()));
-        assert!(!local.doubt(&"i1".into()), "already marked unreachable");
+        assert!(!local.mark_unreachable(&"i0".into()), "another instance than the current one");
+        assert!(local.mark_unreachable(&"i1".into()));
+        assert!(!local.mark_unreachable(&"i1".into()), "already marked unreachable");
         assert!(local.open().is_none());
-        local.hear(&heartbeat("i1", 3, false), now);
+        local.apply_heartbeat(&heartbeat("i1", 3, false), now);
         assert!(local.open().is_some());
         // Missed heartbeats close the gate as for any other instance.
-        local.hear(&heartbeat("i2", 1, false), now);
-        assert!(local.fell_silent(now + Duration::from_secs(7)));
+        local.apply_heartbeat(&heartbeat("i2", 1, false), now);
+        assert!(local.check_missed_heartbeats(now + Duration::from_secs(7)));
         assert!(local.open().is_none());
     }
 
     leave_without_a_drain_closes_the_gate => {
         let mut local = Local::new(Span::from_millis(1500));
-        local.recall(None, Instant::now());
-        local.hear(&heartbeat("i1", 1, false), Instant::now());
+        local.restore(None, Instant::now());
+        local.apply_heartbeat(&heartbeat("i1", 1, false), Instant::now());
         assert_eq!(local.leave(&"i0".into()), Change::Nothing);
         assert!(local.open().is_some());
-        assert_eq!(local.leave(&"i1".into()), Change::Told);
+        assert_eq!(local.leave(&"i1".into()), Change::Publish);
         assert!(local.open().is_none() && local.is_leaving());
     }
 
@@ -1163,38 +1167,38 @@
         for restored_first in [false, true] {
             let mut local = Local::new(Span::from_millis(1500));
             if restored_first {
-                local.recall(Some(&written), now);
+                local.restore(Some(&written), now);
             }
             local.leave(&"i1".into());
-            assert_eq!(local.is_recalled(), restored_first);
-            local.recall(Some(&written), now);
-            local.hear(&heartbeat("i1", 9, false), now);
+            assert_eq!(local.is_restored(), restored_first);
+            local.restore(Some(&written), now);
+            local.apply_heartbeat(&heartbeat("i1", 9, false), now);
             assert!(local.open().is_none());
-            assert!(local.told()[0].draining);
+            assert!(local.announced()[0].draining);
         }
         // A leave without a start time, for an instance that was recorded with one.
         let mut local = Local::new(Span::from_millis(1500));
         written.targets[0].instance = "i1@100".into();
         local.leave(&"i1".into());
-        local.recall(Some(&written), now);
-        assert!(local.open().is_none() && local.told()[0].draining);
+        local.restore(Some(&written), now);
+        assert!(local.open().is_none() && local.announced()[0].draining);
         // A leave of an instance that was not recorded.
         let mut local = Local::new(Span::from_millis(1500));
-        local.recall(None, Instant::now());
+        local.restore(None, Instant::now());
         local.leave(&"i1".into());
-        local.hear(&heartbeat("i1", 9, false), now);
+        local.apply_heartbeat(&heartbeat("i1", 9, false), now);
         assert!(local.open().is_none());
     }
 
     target_without_heartbeats_is_considered_gone => {
         let mut local = Local::new(Span::from_millis(1500));
         let now = Instant::now();
-        local.recall(None, Instant::now());
-        local.hear(&heartbeat("i1", 1, false), now);
-        assert!(!local.fell_silent(now + Duration::from_secs(5)));
-        assert!(local.fell_silent(now + Duration::from_secs(7)));
+        local.restore(None, Instant::now());
+        local.apply_heartbeat(&heartbeat("i1", 1, false), now);
+        assert!(!local.check_missed_heartbeats(now + Duration::from_secs(5)));
+        assert!(local.check_missed_heartbeats(now + Duration::from_secs(7)));
         assert!(local.open().is_none());
-        local.hear(&heartbeat("i1", 2, false), now + Duration::from_secs(8));
+        local.apply_heartbeat(&heartbeat("i1", 2, false), now + Duration::from_secs(8));
         assert!(local.open().is_some());
     }
 
@@ -1250,12 +1254,12 @@
 served! {
     unusable_version_does_not_hide_an_older_one => {
         let mut host = host("here");
-        host.words.routes = Arc::new(|record| match record {
+        host.decoders.routes = Arc::new(|record| match record {
             b"good" => Ok(table(vec![route("r", "h", "/", &[("a", 1)])]).unwrap()),
             _ => Err(rilltrack::protocol::Error::new("version", "torn")),
         });
         let host = Arc::new(host);
-        host.known_to(Stream::Members, 1);
+        host.advance_offset(Stream::Members, 1);
         let store = Store {
             newest: Arc::new(|_| {
                 let records = ["good", "torn", "bad"].map(|text| text.into()).to_vec();
@@ -1263,7 +1267,7 @@
             }),
             ..recording_store().0
         };
-        let ask: Ask = Arc::new(|_, _| std::future::pending().boxed());
+        let ask: CallPeer = Arc::new(|_, _| std::future::pending().boxed());
         tokio::spawn(source::follow(host.clone(), store, ask, Stream::Routes));
         while host.version() == 0 {
             tokio::task::yield_now().await;
@@ -1429,26 +1433,26 @@
         // ahead of the link.
         let outflow = Flow::new(15);
         let since = Instant::now();
-        outflow.enter(90_000).await;
-        assert!(outflow.enter(90_000_000).now_or_never().is_none(), "the link is still busy");
+        outflow.wait_for_link(90_000).await;
+        assert!(outflow.wait_for_link(90_000_000).now_or_never().is_none(), "the link is still busy");
         for _ in 0..9 {
-            outflow.enter(90_000).await;
+            outflow.wait_for_link(90_000).await;
         }
         assert!(since.elapsed() >= Duration::from_millis(425), "{:?}", since.elapsed());
         // The cancelled answer, which would take about a minute, used nothing of the link.
         assert!(since.elapsed() < Duration::from_secs(60));
         // A wide link delays no answer, nor does one of unknown bandwidth.
         for wide in [Flow::new(100_000), Flow::new(0)] {
-            assert!((0..100).all(|_| wide.enter(90_000).now_or_never().is_some()));
+            assert!((0..100).all(|_| wide.wait_for_link(90_000).now_or_never().is_some()));
         }
     }
 
     gate_grants_each_slot_once_and_leaves_none_idle => {
         let gate = Gate::new();
-        gate.open(target("i1", 2));
-        let first = gate.enter(arrival(1, LONG)).await.ok().unwrap();
-        let _second = gate.enter(arrival(1, LONG)).await.ok().unwrap();
-        let third = gate.enter(arrival(1, LONG));
+        gate.set_target(target("i1", 2));
+        let first = gate.acquire(arrival(1, LONG)).await.ok().unwrap();
+        let _second = gate.acquire(arrival(1, LONG)).await.ok().unwrap();
+        let third = gate.acquire(arrival(1, LONG));
         let mut third = Box::pin(third);
         assert!(third.as_mut().now_or_never().is_none());
         assert_eq!(gate.load(), Load { running: 2, waiting: 1, slots: 2 });
@@ -1458,10 +1462,10 @@
 
     gate_admits_higher_priorities_first => {
         let gate = Gate::new();
-        gate.open(target("i1", 1));
-        let permit = gate.enter(arrival(1, LONG)).await.ok().unwrap();
-        let mut low = Box::pin(gate.enter(arrival(2, LONG)));
-        let mut high = Box::pin(gate.enter(arrival(0, LONG)));
+        gate.set_target(target("i1", 1));
+        let permit = gate.acquire(arrival(1, LONG)).await.ok().unwrap();
+        let mut low = Box::pin(gate.acquire(arrival(2, LONG)));
+        let mut high = Box::pin(gate.acquire(arrival(0, LONG)));
         assert!(low.as_mut().now_or_never().is_none());
         assert!(high.as_mut().now_or_never().is_none());
         drop(permit);
@@ -1473,11 +1477,11 @@
 
     gate_admits_the_earliest_due_time_first_at_equal_priority => {
         let gate = Gate::new();
-        gate.open(target("i1", 1));
-        let permit = gate.enter(arrival(1, LONG)).await.ok().unwrap();
-        let mut request = Box::pin(gate.enter(arrival(1, LONG)));
-        let due_soon = Arrival { usual: Some(Duration::from_millis(10)), ..arrival_due(400) };
-        let mut call = Box::pin(gate.enter(due_soon));
+        gate.set_target(target("i1", 1));
+        let permit = gate.acquire(arrival(1, LONG)).await.ok().unwrap();
+        let mut request = Box::pin(gate.acquire(arrival(1, LONG)));
+        let due_soon = Arrival { usual_run_time: Some(Duration::from_millis(10)), ..arrival_due(400) };
+        let mut call = Box::pin(gate.acquire(due_soon));
         assert!(request.as_mut().now_or_never().is_none());
         assert!(call.as_mut().now_or_never().is_none());
         drop(permit);
@@ -1489,14 +1493,14 @@
 
     gate_admits_late_requests_after_those_that_can_finish_in_time => {
         let gate = Gate::new();
-        gate.open(target("i1", 4));
+        gate.set_target(target("i1", 4));
         let mut permits = Vec::new();
         for _ in 0..4 {
-            permits.push(gate.enter(arrival(1, LONG)).await.ok().unwrap());
+            permits.push(gate.acquire(arrival(1, LONG)).await.ok().unwrap());
         }
-        let mut late = Box::pin(gate.enter(arrival_due(-50)));
+        let mut late = Box::pin(gate.acquire(arrival_due(-50)));
         assert!(late.as_mut().now_or_never().is_none(), "a late request waits for an unused slot");
-        let mut fresh = Box::pin(gate.enter(arrival_due(800)));
+        let mut fresh = Box::pin(gate.acquire(arrival_due(800)));
         assert!(fresh.as_mut().now_or_never().is_none());
         permits.pop();
         assert!(late.as_mut().now_or_never().is_none());
@@ -1507,53 +1511,53 @@
 
     gate_rejects_at_once_a_request_that_the_queue_makes_late => {
         let gate = Gate::new();
-        gate.open(target("i1", 4));
+        gate.set_target(target("i1", 4));
         let mut permits = Vec::new();
         for _ in 0..4 {
-            permits.push(gate.enter(arrival(1, LONG)).await.ok().unwrap());
+            permits.push(gate.acquire(arrival(1, LONG)).await.ok().unwrap());
         }
-        let mut fresh = Box::pin(gate.enter(arrival_due(800)));
+        let mut fresh = Box::pin(gate.acquire(arrival_due(800)));
         assert!(fresh.as_mut().now_or_never().is_none());
-        let refused = gate.enter(arrival_due(100)).now_or_never();
+        let refused = gate.acquire(arrival_due(100)).now_or_never();
         assert_eq!(refused.unwrap().err().unwrap().reason, gate::FULL, "the request can't finish within 100 ms");
     }
 
     closed_gate_rejects_waiting_requests_as_not_run => {
         let gate = Gate::new();
-        gate.open(target("i1", 1));
-        let _permit = gate.enter(arrival(1, LONG)).await.ok().unwrap();
-        let mut waiting = Box::pin(gate.enter(arrival(1, LONG)));
+        gate.set_target(target("i1", 1));
+        let _permit = gate.acquire(arrival(1, LONG)).await.ok().unwrap();
+        let mut waiting = Box::pin(gate.acquire(arrival(1, LONG)));
         assert!(waiting.as_mut().now_or_never().is_none());
         gate.close();
         let refusal = waiting.await.err().unwrap();
         assert_eq!(refusal.outcome, Outcome::NotRun);
         assert_eq!(refusal.reason, gate::LEAVING);
-        assert!(gate.enter(arrival(0, LONG)).await.is_err());
+        assert!(gate.acquire(arrival(0, LONG)).await.is_err());
     }
 
     slot_granted_to_a_cancelled_waiter_is_released => {
         let gate = Gate::new();
-        gate.open(target("i1", 1));
-        let permit = gate.enter(arrival(1, LONG)).await.ok().unwrap();
-        let mut cancelled = Box::pin(gate.enter(arrival(0, LONG)));
+        gate.set_target(target("i1", 1));
+        let permit = gate.acquire(arrival(1, LONG)).await.ok().unwrap();
+        let mut cancelled = Box::pin(gate.acquire(arrival(0, LONG)));
         assert!(cancelled.as_mut().now_or_never().is_none());
         // The slot is granted just before the request is cancelled.
         drop(permit);
         drop(cancelled);
         assert_eq!(gate.load().running, 0);
-        assert!(gate.enter(arrival(1, 0)).await.is_ok());
+        assert!(gate.acquire(arrival(1, 0)).await.is_ok());
     }
 
     displaced_and_cancelled_waiter_releases_no_slot => {
         let gate = Gate::new();
-        gate.open(target("i1", 1));
-        let _permit = gate.enter(arrival(1, LONG)).await.ok().unwrap();
-        let mut waiting: Vec<_> = (0..2).map(|_| Box::pin(gate.enter(arrival(2, LONG)))).collect();
+        gate.set_target(target("i1", 1));
+        let _permit = gate.acquire(arrival(1, LONG)).await.ok().unwrap();
+        let mut waiting: Vec<_> = (0..2).map(|_| Box::pin(gate.acquire(arrival(2, LONG)))).collect();
         for waiter in &mut waiting {
             assert!(waiter.as_mut().now_or_never().is_none());
         }
         // A request of higher priority displaces the last waiter, which is cancelled at once.
-        let mut first = Box::pin(gate.enter(arrival(0, LONG)));
+        let mut first = Box::pin(gate.acquire(arrival(0, LONG)));
         assert!(first.as_mut().now_or_never().is_none());
         drop(waiting.pop());
         assert_eq!(gate.load().running, 1, "the slot is still held");
@@ -1562,9 +1566,9 @@
 
     full_gate_rejects_at_once_a_request_that_would_wait_too_long => {
         let gate = Gate::new();
-        gate.open(target("i1", 1));
-        let _permit = gate.enter(arrival(1, LONG)).await.ok().unwrap();
-        let refusal = gate.enter(arrival(1, 1)).await.err().unwrap();
+        gate.set_target(target("i1", 1));
+        let _permit = gate.acquire(arrival(1, LONG)).await.ok().unwrap();
+        let refusal = gate.acquire(arrival(1, 1)).await.err().unwrap();
         assert_eq!(refusal.reason, gate::FULL);
         assert!(refusal.retry_after.is_some());
         assert_eq!(gate.load().waiting, 0);
@@ -1573,31 +1577,31 @@
     peer_that_lacks_one_member_is_not_sent_all => {
         let host = host("here");
         let list: Vec<_> = (0..300).map(|i| member(&format!("n{i}"), "here", 10)).collect();
-        host.take_members(list.clone(), "store");
+        host.merge_members(list.clone(), "store");
         let mut peer_table = Table::default();
         for member in &list[1..] {
             peer_table.merge(member.clone());
         }
-        let news_for = |marks: &[u32]| -> News<Member> {
+        let update_for = |marks: &[u32]| -> MembersUpdate<Member> {
             rmp_serde::from_slice(&source::members(&host, marks)).unwrap()
         };
-        let missing = news_for(peer_table.marks());
+        let missing = update_for(peer_table.marks());
         assert!(missing.members.contains(&list[0]));
         assert!(missing.members.len() < 20, "{} of 300", missing.members.len());
-        assert!(news_for(host.members.read().marks()).members.is_empty());
-        assert_eq!(news_for(&[]).members.len(), 300, "a peer without members is sent all");
+        assert!(update_for(host.members.read().marks()).members.is_empty());
+        assert_eq!(update_for(&[]).members.len(), 300, "a peer without members is sent all");
     }
 
     node_removes_a_former_member_at_its_own_address => {
         let host = Arc::new(host("here"));
         let elsewhere = Member { inbound: "127.0.0.1:2".parse().unwrap(), ..member("n2", "here", 10) };
-        host.take_members(vec![member("n1", "here", 10), elsewhere], "store");
-        host.known_to(Stream::Members, 1);
+        host.merge_members(vec![member("n1", "here", 10), elsewhere], "store");
+        host.advance_offset(Stream::Members, 1);
         let (store, mut written_members) = recording_store();
         // Writes the own record without waiting for a target.
-        host.changed.notify_one();
+        host.own_record_changed.notify_one();
         let written = watch::Sender::default();
-        tokio::spawn(presence::keep_written(host.clone(), store, written));
+        tokio::spawn(presence::maintain_record(host.clone(), store, written));
         assert_eq!(written_members.recv().await.unwrap().node.as_str(), "me");
         let removed = written_members.recv().await.unwrap();
         assert_eq!((removed.node.as_str(), removed.status), ("n1", Status::Gone));
@@ -1610,7 +1614,7 @@
         // If the node itself is reported gone by mistake, it publishes that it is alive.
         let me = members.get(&"me".parse().unwrap()).unwrap();
         let gone = Member { status: Status::Gone, sequence: me.sequence + 1, ..me.as_ref().clone() };
-        host.take_member(gone.clone(), "reader");
+        host.merge_member(gone.clone(), "reader");
         let republished = written_members.recv().await.unwrap();
         assert_eq!((republished.node.as_str(), republished.status), ("me", Status::Alive));
         assert!(republished.stamp() > gone.stamp());
@@ -1631,12 +1635,12 @@
         for i in 0..40 {
             // Their links are wider, so that they all rank before this node.
             let other = Member { bandwidth: 100, ..member(&format!("n{i}"), "here", 4) };
-            host.take_member(other, "test");
+            host.merge_member(other, "test");
         }
         // Counts a round for each request that is sent while no other is open.
         let (open, rounds) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
         let round_count = rounds.clone();
-        let ask: Ask = Arc::new(move |address, _| {
+        let ask: CallPeer = Arc::new(move |address, _| {
             let open = open.clone();
             if open.fetch_add(1, Ordering::SeqCst) == 0 {
                 round_count.fetch_add(1, Ordering::SeqCst);
@@ -1648,9 +1652,9 @@
             }
             .boxed()
         });
-        host.settle();
+        host.note_membership_settled();
         let mut reading = host.reading();
-        let watch_task = tokio::spawn(coordination::watch::keep(host.clone(), ask));
+        let watch_task = tokio::spawn(coordination::watch::run(host.clone(), ask));
         reading.wait_for(|reads| *reads).await.unwrap();
         watch_task.abort();
         assert!(rounds.load(Ordering::SeqCst) <= 7, "{rounds:?} rounds for 40 nodes");
