--- a/src/coordination/decision/age.rs
+++ b/src/coordination/decision/age.rs
@@ -2,8 +2,8 @@
 //!
 //! A caller that was rejected retries with less time than it began with. Requests don't carry
 //! the initial time. But first attempts have the most time left, and where callers retry a few
-//! times each, a good part of a route's requests are first attempts. So the time left that
-//! only a few of a route's requests exceed is taken for the initial time of its callers.
+//! times each, a good part of a route's requests are first attempts. So the time left that only
+//! a few of a route's requests exceed is used as the initial time of its callers.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -12,17 +12,18 @@
 
 use crate::id::Name;
 
-/// Samples kept for each route: some tenths of a second of a busy one.
+/// Samples kept for each route. A busy route fills them in some tenths of a second.
 const SAMPLES_PER_ROUTE: usize = 64;
 
 /// Share of a route's requests that may have more time left than the estimated initial time.
-/// They are of callers that wait longer than others.
+/// These requests come from callers that wait longer than others.
 const EXCEEDING_SHARE: f64 = 0.15;
 
 /// Requests of a route after which its initial time is estimated anew.
 const REQUESTS_PER_ESTIMATE: usize = 8;
 
-/// Largest difference from the initial time that is treated as rounding.
+/// Callers send their time left in whole milliseconds. Differences up to this from the initial
+/// time are treated as rounding errors.
 const MAX_ROUNDING: Duration = Duration::from_millis(2);
 
 /// Recent samples of the time that callers of each route had left.
--- a/src/coordination/decision/attempts.rs
+++ b/src/coordination/decision/attempts.rs
@@ -1,10 +1,11 @@
 //! The attempts of one request: how many there are, how long the request may wait at each
 //! node, and which result its caller gets.
 //!
-//! It is made for overloaded nodes that refuse requests, targets that shed or fail part of
-//! their requests, and broken network paths. A request that was refused before a target saw
-//! it goes to another node at no cost. One that a target has seen is a repeat and takes from
-//! the retry budget of the fleet ([`retry_budget`](crate::coordination::decision::retry_budget)).
+//! It handles overloaded nodes that refuse requests, targets that shed or fail part of their
+//! requests, and broken network paths. A request that was refused before a target saw it goes
+//! to another node at no cost. A request that a target has already seen is a repeat: sending it
+//! takes from the retry budget of the fleet
+//! ([`retry_budget`](crate::coordination::decision::retry_budget)).
 
 use std::time::{Duration, Instant};
 
@@ -27,9 +28,9 @@
 /// node can still be asked if the first one doesn't answer.
 const WAIT_DIVISOR: u32 = 2;
 
-/// The longest time that a request past its due time may wait at one node. The slowest
-/// service of both meshes has a mean run time of 410 ms, after which all of its slots have
-/// turned over; this is a little more.
+/// The longest time that a request past its due time may wait at one node. It is a little more
+/// than 410 ms, the mean run time of the slowest service, after which all slots of a target of
+/// that service have turned over.
 const MAX_LATE_WAIT: Duration = Duration::from_millis(500);
 
 /// The time that a request may wait until a node accepts its body, in usual run times. The
@@ -37,15 +38,15 @@
 /// then is unlikely to answer at all.
 const OFFER_WAIT_RUNS: u32 = 2;
 
-/// The shortest run time that counts for [`OFFER_WAIT_RUNS`], so that short requests, too,
-/// can wait for a slot to turn over. Calls that a target makes during a request run for a
-/// fraction of it, other requests for several times as long.
+/// The shortest run time that counts for [`OFFER_WAIT_RUNS`], so that short requests, too, can
+/// wait for a slot to turn over. Calls that a target makes during a request run for a fraction
+/// of this time, other requests for several times as long.
 const MIN_OFFER_RUN: Duration = Duration::from_millis(100);
 
 /// The `retry-after` that callers get if no target was available.
 const NO_TARGET_RETRY_AFTER: Span = Span::from_millis(200);
 
-/// The attempts of one request so far; `A` is an answer of a target.
+/// The attempts of one request so far; `A` is a response of a target.
 #[derive(Debug)]
 pub struct Attempts<A> {
     /// The nodes that were asked.
@@ -71,7 +72,7 @@
     pub repeat_chance: f64,
     /// The due time of its objective, counted from its caller's first attempt.
     pub due: Instant,
-    /// When its caller stops waiting for an answer.
+    /// When its caller stops waiting for a response.
     pub deadline: Instant,
 }
 
@@ -80,12 +81,12 @@
 pub enum AttemptEnd<A> {
     /// The target answered, perhaps with an error.
     Answered {
-        /// The answer.
+        /// The response.
         answer: A,
-        /// Whether the answer reports a failure of the target.
+        /// Whether the response reports a failure of the target.
         is_fault: bool,
     },
-    /// There is no answer of a target.
+    /// There is no response of a target.
     Refused {
         /// The reason, and whether the request may have run.
         refusal: Refusal,
@@ -159,9 +160,9 @@
                 }
                 self.fallback = Some(Fallback::Answered(answer));
             }
-            // The request may have crashed the target, so the node doesn't retry it: retried
-            // by a node, one such request crashed three targets in 3 ms. Its caller retries
-            // soon enough, and by then all nodes have heard of the crash.
+            // The request may have crashed the target, so the node doesn't retry it. When nodes
+            // retried such requests, one of them crashed three targets in 3 ms. Its caller
+            // retries soon enough, and by then all nodes know of the crash.
             AttemptEnd::TargetCrashed(refusal) => {
                 self.arrivals += 1;
                 self.keep_refusal(refusal);
@@ -221,9 +222,9 @@
         }
     }
 
-    /// Stores `refusal` as the result for the caller, unless an answer is stored, or
-    /// `refusal` is "not run" and the stored one isn't. So the caller gets "not run" only if
-    /// that holds for every attempt.
+    /// Stores `refusal` as the result for the caller, unless a response is stored, or `refusal`
+    /// is "not run" and the stored one isn't. So the caller gets "not run" only if that holds
+    /// for every attempt.
     pub fn keep_refusal(&mut self, refusal: Refusal) {
         let is_kept = match &self.fallback {
             Some(Fallback::Answered(_)) => true,
--- a/src/coordination/decision/balance.rs
+++ b/src/coordination/decision/balance.rs
@@ -1,14 +1,14 @@
 //! Chooses the node that a request goes to, by what this node has observed of each.
 //!
-//! A few targets are drawn at random, some in the request's failure domain and some in
-//! others, and the one with the shortest expected response time is chosen. Random draws keep
-//! the nodes from all rushing to the same target.
+//! A few targets are drawn at random, some in the request's failure domain and some in others,
+//! and the one with the shortest expected response time is chosen. Random draws keep the nodes
+//! from all choosing the same target.
 //!
 //! A target in another failure domain has the cost of the network path added: its round trip
 //! and, since traffic between failure domains is paid for by the byte, a time for each
 //! kilobyte. So an upload stays in its failure domain where a lookup goes to a faster target
-//! elsewhere. A node that is unreachable, or has owed answers for long, gets no requests
-//! until it responds again.
+//! elsewhere. A node that is unreachable, or has left requests unanswered for longer than
+//! `MAX_SILENCE`, gets no requests until it responds again.
 
 use std::{
     collections::HashMap,
@@ -30,16 +30,17 @@
 /// Targets of other failure domains that are drawn.
 const FAR_DRAWS: usize = 2;
 
-/// Members that are sampled before all of a service are checked: with half of them
-/// excluded, 16 samples hold three that are not in 998 of 1,000 draws.
+/// Members that are sampled before all members of a service are checked. If half of them are
+/// excluded, 16 samples include three eligible ones with probability 0.998.
 const MAX_SAMPLES: usize = 16;
 
-/// Cost of the round trip to another failure domain, in seconds: 3 ms on the network, and
-/// the bytes of an ordinary answer. At 3 ms alone, lookups went far for gains of a few
-/// milliseconds and cost more than they gained (docs/MEASURES.md).
+/// Cost of the round trip to another failure domain, in seconds: 3 ms on the network; the rest
+/// is the price of an ordinary response's bytes, expressed as a time. At 3 ms alone, lookups
+/// were sent to other failure domains for gains of a few milliseconds and cost more than they
+/// gained (docs/MEASURES.md).
 const FAR_TRIP_COST: f64 = 0.04;
 
-/// Cost of a kilobyte of a request or its answer to or from another failure domain, in
+/// Cost of a kilobyte of a request or its response to or from another failure domain, in
 /// seconds: an upload or download of 60 KB goes there only if it would fail in the failure
 /// domain of the request.
 const FAR_KILOBYTE_COST: f64 = 0.007;
@@ -52,19 +53,20 @@
 /// load is up to 0.5 s old, and other nodes send there, too.
 const CROWDED_USAGE: f64 = 0.75;
 
-/// Cost of each unit of usage above [`CROWDED_USAGE`], as a multiple of the run time. At 1,
-/// counted from full usage on, all senders rushed to the fast targets, where requests
-/// waited or were refused while slow targets had room (docs/MEASURES.md).
+/// Cost of each unit of usage above [`CROWDED_USAGE`], as a multiple of the run time. At 1, and
+/// counted only from full usage on, all senders chose the fast targets, where requests waited
+/// or were refused while slow targets had free slots (docs/MEASURES.md).
 const CROWDING_COST: f64 = 3.0;
 
-/// Assumed time of an answer on a route without observations, in seconds.
+/// Assumed time of a response on a route without observations, in seconds.
 const INITIAL_MEAN: f64 = 0.15;
 
 /// Weight of the newest request in the moving averages of times, sizes and slowdowns.
 const NEWEST_WEIGHT: f64 = 0.1;
 
-/// Time after which about two thirds of an observed slowdown have decayed: longer than some
-/// faults of targets last, and shorter than minutes.
+/// Time after which about two thirds of an observed slowdown have decayed. It is longer than
+/// some faults of targets last, but far below minutes, so that a target that was slow is tried
+/// again.
 const SLOWDOWN_DECAY: Duration = Duration::from_secs(10);
 
 /// Weight of a reported slowdown in the moving average for its target. The target's node has
@@ -74,8 +76,8 @@
 /// Age up to which a reported load is used; the mean request lasts about as long.
 const MAX_LOAD_AGE: Duration = Duration::from_millis(500);
 
-/// How long a node may owe an answer, and give no other, before it is excluded: several
-/// times the mean run time of the slowest service of both meshes.
+/// How long a node may leave a request unanswered, without answering any other, before it is
+/// excluded: several times the mean run time of the slowest service.
 const MAX_SILENCE: Duration = Duration::from_millis(700);
 
 /// First ejection time of a node whose target leaves or fails. The time doubles with each
@@ -85,11 +87,12 @@
 /// Longest ejection time, after which requests may try the node again.
 const MAX_EJECTION: Duration = Duration::from_secs(3);
 
-/// Ejection time of a node at whose address another node answers. Its host was replaced: a
-/// node that takes over its name has another incarnation or announces itself anew.
+/// Ejection time of a node at whose address another node answers. Its host was replaced. If a
+/// node takes over its name, the ejection ends: that node has another incarnation, or its
+/// target is another instance, so its observations start anew.
 const REPLACED_EJECTION: Duration = Duration::from_secs(30);
 
-/// Failures of a target at which it is ejected; each answer takes one off.
+/// Failures of a target at which it is ejected; each response subtracts one.
 const MAX_FAILURES: u32 = 4;
 
 /// Observations of the other nodes and of this node's own target, by which nodes are chosen.
@@ -98,9 +101,9 @@
     peers: HashMap<Node, Peer>,
     /// The mean run time of a request of each route, in seconds.
     run_times: HashMap<Name, f64>,
-    /// The mean size of an answer on each route, in bytes.
+    /// The mean size of a response on each route, in bytes.
     answer_sizes: HashMap<Name, f64>,
-    /// The mean response time of requests with a large body or answer on each route, in
+    /// The mean response time of requests with a large body or response on each route, in
     /// seconds.
     transfer_times: HashMap<Name, f64>,
     /// Which nodes are unreachable.
@@ -123,10 +126,10 @@
     slowdown: Slowdown,
     /// When `slowdown` was last updated.
     slowdown_at: Instant,
-    /// The slowdown of requests with a large body or answer, network path included, as this
+    /// The slowdown of requests with a large body or response, network path included, as this
     /// node observed it.
     transfer_slowdown: Slowdown,
-    /// Failures of its target less answers, from 0 to [`MAX_FAILURES`].
+    /// Failures of its target less responses, from 0 to [`MAX_FAILURES`].
     failures: u32,
     /// Ejections since the node last responded; a failure of its target counts as a response.
     ejections: u32,
@@ -165,9 +168,9 @@
     Leaving,
     /// Another node answered at its address.
     Replaced,
-    /// The target failed: it closed the connection, or sent an invalid answer or an error.
+    /// The target failed: it closed the connection, or sent an invalid response or an error.
     Failed,
-    /// No answer came in time.
+    /// No response came in time.
     Late,
     /// The node was unreachable.
     Lost(Failure),
@@ -199,8 +202,8 @@
     pub known: usize,
     /// Draining targets.
     pub draining: usize,
-    /// Excluded targets that are not draining: unreachable, ejected, or owing answers for
-    /// long.
+    /// Excluded targets that are not draining: unreachable, ejected, or beside a node that has
+    /// left requests unanswered for longer than `MAX_SILENCE`.
     pub excluded: usize,
 }
 
@@ -221,16 +224,16 @@
     pub own_load: Load,
 }
 
-/// What a node reports of its target with an answer.
+/// What a node reports of its target with a response.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Report {
     /// The target's load.
     pub load: Option<Load>,
     /// The target's slowdown.
     pub slowdown: Option<Slowdown>,
-    /// The run time of the request. Without it, the response time is used, which includes
-    /// the network path and the wait for a slot, and a target that gets many uploads seems
-    /// slower than it is.
+    /// The run time of the request. Without it, the response time is used, which includes the
+    /// network path and the wait for a slot, so a target that gets many uploads seems slower
+    /// than it is.
     pub run_time: Option<Duration>,
     /// Whether the request's body was large.
     pub is_large: bool,
@@ -243,7 +246,7 @@
     pub member: Arc<Member>,
     /// The expected usage of its target's slots, where 1 is full.
     pub usage: f64,
-    /// The expected time to an answer, in seconds; the lowest of those drawn.
+    /// The expected time to a response, in seconds; the lowest of those drawn.
     pub cost: f64,
     /// The number of known targets of the service.
     pub candidates: usize,
@@ -308,8 +311,8 @@
             .entry(member.node.clone())
             .or_insert_with(|| Peer::new(Process::of(member), now));
         if !peer.process.matches(member) {
-            // Observations of an earlier incarnation of the node, or instance of its
-            // target, say nothing about this one.
+            // Observations of an earlier incarnation of the node, or instance of its target,
+            // don't apply to this one.
             *peer = Peer {
                 outstanding: peer.outstanding,
                 ..Peer::new(Process::of(member), now)
@@ -379,7 +382,7 @@
     }
 
     /// Returns the usage of a target's slots with one more request, where 1 is full, and the
-    /// expected time to its answer, in seconds.
+    /// expected time to its response, in seconds.
     fn estimate(&mut self, member: &Member, criteria: &Criteria<'_>, now: Instant) -> (f64, f64) {
         let answer = self.answer_size(criteria.route);
         let is_large = is_large(criteria.bytes) || is_large(answer);
@@ -398,9 +401,9 @@
             peer.expected_requests(now)
         };
         let usage = f64::from(requests + 1) / slots;
-        // The time of a large body or answer depends on the links on its path as much as on
-        // the target. By the target's slowdown alone, all uploads of a failure domain met on
-        // the thin link of its fastest target.
+        // The time of a large body or response depends on the links on its path as much as on
+        // the target. When only the target's slowdown counted, all uploads of a failure domain
+        // were sent over the slow link of its fastest target.
         let slowdown = if is_large {
             peer.transfer_slowdown.factor()
         } else {
@@ -412,27 +415,27 @@
         let path_cost = if member.domain == *criteria.domain {
             0.0
         } else {
-            // `FAR_TRIP_COST` includes the bytes of an ordinary answer.
+            // `FAR_TRIP_COST` includes the bytes of an ordinary response.
             let bytes = criteria.bytes + answer.saturating_sub(MIN_LARGE);
             FAR_TRIP_COST + FAR_KILOBYTE_COST * bytes as f64 / 1024.0
         };
         (usage, time + path_cost)
     }
 
-    /// Returns the mean size of an answer on a route, in bytes; 0 if none is known.
+    /// Returns the mean size of a response on a route, in bytes; 0 if none is known.
     fn answer_size(&self, route: &Name) -> usize {
         self.answer_sizes
             .get(route)
             .map_or(0, |mean| *mean as usize)
     }
 
-    /// Returns the mean size of an answer on a route, in bytes, if that is large; otherwise 0.
+    /// Returns the mean size of a response on a route, in bytes, if that is large; otherwise 0.
     pub fn large_answer_size(&self, route: &Name) -> usize {
         let size = self.answer_size(route);
         if is_large(size) { size } else { 0 }
     }
 
-    /// Records the size of an answer on a route, in bytes.
+    /// Records the size of a response on a route, in bytes.
     pub fn record_answer_size(&mut self, route: &Name, bytes: usize) {
         update_mean(&mut self.answer_sizes, route, bytes as f64);
     }
@@ -590,7 +593,7 @@
 }
 
 /// Smallest body, in bytes, that counts as large, and whose transfer is part of the cost: it
-/// takes a good part of a millisecond on an ordinary link, and 11 ms on a thin one of
+/// takes a good part of a millisecond on an ordinary link, and 11 ms on a slow link of
 /// 10 Mbit/s.
 const MIN_LARGE: usize = 14 << 10;
 
--- a/src/coordination/decision/link_share.rs
+++ b/src/coordination/decision/link_share.rs
@@ -1,10 +1,9 @@
 //! Admission of large bodies to one direction of a host's link.
 //!
-//! It is made for loads such as uploads of 60 KB to ten hosts with links of 7 Mbit/s, at
-//! eight tenths of the bandwidth and more, beside short calls to the same targets. A body
+//! It handles large bodies beside short calls to the same targets, such as uploads of 60 KB to
+//! ten hosts with links of 7 Mbit/s that use eight tenths of the bandwidth and more. A body
 //! that can't be transferred in time behind the pending ones is rejected before any of its
-//! bytes are sent. A body is always admitted if no other one is pending, however slow the
-//! link.
+//! bytes are sent. A body is always admitted if no other one is pending, however slow the link.
 
 use std::time::{Duration, Instant};
 
--- a/src/coordination/decision/mod.rs
+++ b/src/coordination/decision/mod.rs
@@ -13,8 +13,8 @@
 //! * [`age`]: how long callers have been trying;
 //! * [`attempts`]: how many attempts a request gets, and which response its caller gets;
 //! * [`quarantine`]: which requests are quarantined because targets crash under them;
-//! * [`rollout`]: how a new release of a service is tried, judged, and completed or rolled
-//!   back;
+//! * [`rollout`]: how a new release of a service is put on trial, judged, and completed or
+//!   rolled back;
 //! * [`split`]: how the requests of a split route are shared among its services.
 
 pub mod age;
--- a/src/coordination/decision/quarantine/culprits.rs
+++ b/src/coordination/decision/quarantine/culprits.rs
@@ -1,6 +1,3 @@
-//! rilltrack distributes configuration to the proxies of a service mesh and
-//! routes their requests by it.
-//!
 //! Finds the requests that explain crashes of targets.
 
 use std::collections::{HashMap, HashSet};
@@ -13,11 +10,12 @@
 pub const MIN_CRASHES: usize = 2;
 
 /// Crashes that have several requests in common before all of them are culprits. Waiting for
-/// further crashes to tell the requests apart would cost more than refusing one too many.
+/// further crashes to distinguish the requests would cost more than refusing one too many.
 const MIN_AMBIGUOUS_CRASHES: usize = 3;
 
-/// Returns the fewest requests that explain the crashes, found greedily: each step takes the
-/// request that is in most of the crashes not explained yet.
+/// Returns a small set of requests that explain crashes, chosen greedily: each step takes the
+/// request that is in most of the crashes not explained yet. Crashes without a clear culprit
+/// stay unexplained.
 pub fn culprits(crashes: &[&HashSet<Fingerprint>]) -> HashSet<Fingerprint> {
     let mut culprits = HashSet::new();
     loop {
--- a/src/coordination/decision/quarantine/mod.rs
+++ b/src/coordination/decision/quarantine/mod.rs
@@ -7,19 +7,19 @@
 //! restarted.
 //!
 //! Each node reports what its target was running at each of its crashes ([`Evidence`]). From
-//! these reports every node computes the fewest requests that explain all crashes: the request
-//! that is in most crashes explains those, and so on with the rest. A request that was running
-//! by chance is in one crash, hardly in two, and one that a target has answered since is in
-//! none. So two crashes suffice if only one request is in both; if several are, a third crash
-//! is needed.
+//! these reports every node computes a small set of requests that explain the crashes,
+//! greedily: the request that is in most crashes explains those, then the one that is in most
+//! of the remaining crashes, and so on. A request that was running by chance is in one crash,
+//! rarely in two, and one that a target has answered since counts in none. So two crashes
+//! suffice if only one request is in both; if several are, a third crash is needed.
 //!
 //! A harmless request can still be quarantined by chance. So one node sends a quarantined
 //! request to its own target as a trial, after a delay that grows with the number of targets
-//! that crashed under it. An answer releases the request at all nodes.
+//! that crashed under it. A response releases the request at all nodes.
 //!
-//! Limits: a request under which targets crash only sometimes is cleared by each answer in
-//! between. Nodes that can reach neither the store nor each other each quarantine a request
-//! on their own evidence alone.
+//! Limits: a request under which targets crash only sometimes is cleared by each response in
+//! between. Nodes that can reach neither the store nor each other each quarantine a request on
+//! their own evidence alone.
 //!
 //! # Example
 //!
@@ -74,8 +74,8 @@
 /// The reason for refusing a quarantined request.
 pub const QUARANTINED: &str = "targets ended under this request";
 
-/// How long an unexplained crash is remembered. A request that comes less often crashes one
-/// target in that time.
+/// How long an unexplained crash is remembered. A request that crashes targets less often is
+/// not quarantined; it crashes one target in that time.
 const CRASH_RETENTION: Duration = Duration::from_secs(600);
 
 /// The delay before the first trial of a request that two targets crashed under. Without
@@ -85,8 +85,8 @@
 /// The factor by which each further crash extends the delay: to 1, 6 and 36 minutes.
 const TRIAL_DELAY_FACTOR: u32 = 6;
 
-/// The number of crashes after which a request is not tried any more: three before trials, and
-/// three that trials may cost.
+/// The number of crashes after which a quarantined request gets no more trials: two or three
+/// before the quarantine, and four or three in trials.
 const MAX_TRIAL_CRASHES: u8 = 6;
 
 /// The delay before the next trial if the outcome of the last one stays unknown: longer than
@@ -97,31 +97,31 @@
 /// reach all nodes.
 const CLEARED_RETENTION: Duration = Duration::from_secs(60);
 
-/// How many nodes, on average, report in each review that a request was cleared, of all that
-/// could.
+/// The expected number of nodes that report a cleared request in each review. Each node that
+/// could report it draws at random whether it does.
 const CLEARING_NODES: f64 = 4.0;
 
-/// How long peers may object to a quarantine by reporting that the request is cleared: several
-/// times what the report of a crash and the objection take to reach all nodes. For that time a
-/// node goes on reporting the crashes beside the entry that explains them, and a node that saw
+/// How long peers may object to a quarantine: report that the request is cleared. It is several
+/// times what the report of a crash and the objection take to reach all nodes. During this time
+/// a node still reports the crashes beside the entry that explains them, and a node that saw
 /// the request answered recently doesn't quarantine it yet. Without this window, 223 of 24,000
 /// popular requests were refused within a minute in which a target crashed every two seconds
-/// for other reasons; with it, 94 of 480,000 (the cases of `tests/quarantine.rs`, with the
-/// first seed and with all twenty).
+/// for other reasons; with it, 94 of 480,000 (cases of `tests/quarantine.rs`: the former with
+/// the first seed, the latter with all twenty).
 const OBJECTION_WINDOW: Duration = Duration::from_millis(1500);
 
-/// The number of crashes of its own target that a node remembers, the latest ones. More than
-/// that within [`CRASH_RETENTION`] means that the target crashes by itself.
+/// The most crashes of its own target that a node remembers; the oldest is forgotten first.
+/// More than that within [`CRASH_RETENTION`] means that the target crashes by itself.
 const MAX_CRASHES: usize = 8;
 
-/// The number of requests that are recorded for one crash: several times the slots of a target.
+/// The most requests that are recorded for one crash: several times the slots of a target.
 const MAX_CONTENTS: usize = 256;
 
-/// The number of requests that a node reports as quarantined. Each has crashed its target.
+/// The most requests that a node reports as quarantined. Each has crashed its target.
 const MAX_ENTRIES: usize = 64;
 
-/// The number of explained crashes that a node remembers, so that a late report of one doesn't
-/// count as a new crash.
+/// The most explained crashes that a node remembers, so that a late report of one doesn't count
+/// as a new crash.
 const MAX_EXPLAINED: usize = 8;
 
 /// What a node knows of requests under which targets crash.
@@ -153,9 +153,9 @@
     quarantined: HashMap<Fingerprint, Instant>,
     /// The number of targets that crashed under each request that nodes report as quarantined.
     crash_counts: HashMap<Fingerprint, u8>,
-    /// Requests that this node may send as a trial.
+    /// Quarantined requests that this node may send as a trial.
     assigned: HashSet<Fingerprint>,
-    /// When the last trial of each request began.
+    /// When the last trial of each quarantined request began.
     trials: HashMap<Fingerprint, Instant>,
 }
 
@@ -228,7 +228,7 @@
     }
 
     /// Returns whether any request is suspected or quarantined, or this node has evidence to
-    /// report. If not, requests needn't be checked and reviews can wait for news.
+    /// report. If not, requests needn't be checked and reviews can wait for new evidence.
     pub fn is_active(&self) -> bool {
         !(self.suspects.is_empty() && self.quarantined.is_empty() && self.own.is_empty())
     }
@@ -271,7 +271,7 @@
             .map(move |(content, since)| (content, *since, crashes(content)))
     }
 
-    /// Releases a request on an operator's command, which counts as an answer of a target.
+    /// Releases a request on an operator's command, which counts as a response of a target.
     /// Returns whether the request was quarantined.
     pub fn release(&mut self, content: Fingerprint, now: Instant) -> bool {
         let was_quarantined = self.quarantined.contains_key(&content);
@@ -313,7 +313,7 @@
             |content| reported.contains_key(content),
             now,
         );
-        self.object(&crashes, node_count, &mut draw, now);
+        self.report_cleared_requests(&crashes, node_count, &mut draw, now);
         let review = self.update_quarantined(&quarantined, &crashes, now);
         self.report_explained(&quarantined, &reported, &crashes, now);
         let is_assigned =
@@ -339,7 +339,7 @@
     }
 
     /// Records when this node learned of each crash and of each report of a cleared request.
-    /// The latter counts as an answer.
+    /// The latter counts as a response.
     fn record_times(&mut self, own: &Evidence, peers: &[PeerEvidence<'_>], now: Instant) {
         let before = std::mem::take(&mut self.learned);
         for (node, crash) in all_crashes(own, peers) {
@@ -392,7 +392,7 @@
             .collect()
     }
 
-    /// Returns those culprits that are to be quarantined: this node saw no recent answer to
+    /// Returns those culprits that are to be quarantined: this node saw no recent response to
     /// them, or the [`OBJECTION_WINDOW`] has passed.
     fn without_objection(
         &mut self,
@@ -429,12 +429,12 @@
                 >= MIN_CRASHES
         };
         let (answered, learned, entries_at) = (&self.answered, &self.learned, &self.own_entries_at);
-        let matters = |content: &Fingerprint| is_reported(content) || is_common(content);
+        let may_be_quarantined = |content: &Fingerprint| is_reported(content) || is_common(content);
         for crash in &mut self.own.ends {
             let learned = learned.get(&(None, crash.instance.clone()));
             crash.contents.retain(|content| {
                 let answered = answered.get(content);
-                answered < learned || answered.is_none() || !matters(content)
+                answered < learned || answered.is_none() || !may_be_quarantined(content)
             });
         }
         self.own.ends.retain(|crash| {
@@ -461,7 +461,7 @@
 
     /// Reports requests as cleared that were answered although they are quarantined or are in
     /// enough crashes to be.
-    fn object(
+    fn report_cleared_requests(
         &mut self,
         crashes: &[OpenCrash<'_>],
         node_count: usize,
@@ -485,7 +485,7 @@
         });
         let to_report: Vec<Fingerprint> = to_report.map(|(content, _)| *content).collect();
         for content in to_report {
-            // The node that made the trial may be the only one that knows of the answer.
+            // The node that made the trial may be the only one that knows of the response.
             let is_tried = self.trials.contains_key(&content);
             if is_tried || draw() * (node_count.max(1) as f64) < CLEARING_NODES {
                 self.report_cleared(content, now);
--- a/src/coordination/decision/quarantine/recent.rs
+++ b/src/coordination/decision/quarantine/recent.rs
@@ -4,18 +4,19 @@
 
 use crate::state::fingerprint::Fingerprint;
 
-/// Slots of the table: as many as the requests that a node sends and runs in 15 seconds, in
-/// 32 KB.
+/// Slots of the table: as many as the requests that a node sends and runs in 15 seconds, in 32
+/// KB. A request whose entry is overwritten within [`RECENT_SECONDS`] no longer counts as
+/// answered recently.
 const SLOTS: usize = 2048;
 
-/// How long an answer counts as recent, in seconds. A request that is running at two crashes
-/// by chance comes far more often than once in that time.
+/// How long a response counts as recent, in seconds. A request that is running at two crashes
+/// by chance arrives far more often than once in that time.
 const RECENT_SECONDS: u32 = 60;
 
 /// A fixed-size table of the requests that were answered recently.
 #[derive(Debug, Default)]
 pub struct RecentAnswers {
-    /// Half of a request's fingerprint, and the second of its answer. The fingerprint selects
+    /// Half of a request's fingerprint, and the second of its response. The fingerprint selects
     /// the slot; a later request with the same slot overwrites it.
     slots: Vec<(u64, u32)>,
     since: Option<Instant>,
--- a/src/coordination/decision/quarantine/reports.rs
+++ b/src/coordination/decision/quarantine/reports.rs
@@ -64,7 +64,7 @@
 }
 
 /// Returns since when enough crashes are known to quarantine a request: when this node learned
-/// of the second latest. An answer after that clears the request.
+/// of the second latest. A response after that clears the request.
 pub fn suspected_since(crashes: &[OpenCrash<'_>], content: &Fingerprint) -> Option<Instant> {
     let with = crashes
         .iter()
--- a/src/coordination/decision/queue.rs
+++ b/src/coordination/decision/queue.rs
@@ -1,13 +1,14 @@
 //! Admission queue of a target: which request gets a slot, waits for one, or is rejected.
 //!
-//! The queue is for loads of more requests than slots, from callers with different deadlines.
-//! All requests of a target pass one queue, so it knows what the target runs. It never grants
-//! more than the slots, lets a few requests wait, and rejects the others before the target
-//! sees them. A request that can't end in time behind those that wait is rejected at once. No
-//! slot stays free while a request waits.
+//! It handles loads of more requests than slots, from callers with different deadlines. All
+//! requests of a target pass one queue, so it knows what the target runs. It never grants more
+//! than the slots, lets a few requests wait, and rejects the others before the target sees
+//! them. A request that can't end in time behind those that wait is rejected at once. No slot
+//! stays free while a request waits.
 //!
-//! The time is an argument. What waits is a value of the caller's: the sender of a wake-up
-//! in [`gate`](crate::coordination::gate), a number in a replayed load.
+//! The time is an argument. A waiting request is represented by a value of type `W` that the
+//! caller chooses: in [`gate`](crate::coordination::gate) the sender that wakes its task, in a
+//! replayed load a number.
 
 use std::{
     collections::BTreeMap,
@@ -23,11 +24,11 @@
 const NEWEST_WEIGHT: f64 = 0.1;
 
 /// Assumed run time before the first request has ended, in seconds. The user stories of both
-/// meshes name 120 to 160 ms.
+/// meshes that use this system name 120 to 160 ms.
 const INITIAL_MEAN: f64 = 0.15;
 
-/// Requests that may wait, for each slot. Longer queues serve nobody in time: at twice the
-/// slots, the last request waits for two whole runs.
+/// Requests that may wait, for each slot. Longer queues serve no further request in time: at
+/// twice the slots, the last request waits for two whole runs.
 const QUEUE_PER_SLOT: usize = 2;
 
 /// Shortest time after which a rejected caller is asked to retry: a round trip within a
@@ -43,8 +44,8 @@
 /// serves no more requests (docs/POLICY.md).
 const SLACK_DIVISOR: u32 = 2;
 
-/// Slots for each late request that may wait: one request for four slots is enough to leave no
-/// slot free.
+/// Slots for each late request that may wait: one waiting request for four slots is enough to
+/// keep all slots in use.
 const SLOTS_PER_LATE: usize = 4;
 
 /// The slots of a target, and the requests that wait for one.
@@ -66,9 +67,9 @@
     /// Its priority; 0 goes first.
     pub priority: u8,
     /// Its due time, by which it should be answered. Among requests of equal priority, the
-    /// earliest goes first. So the short calls that a target makes during a request go
-    /// before whole requests, and load can't leave parents waiting for calls that wait for
-    /// other parents.
+    /// earliest goes first. So the short calls that a target makes during a request go before
+    /// whole requests. Otherwise, under load, requests could hold all slots while the calls
+    /// that they wait for queue behind other requests.
     pub due: Instant,
     /// Its maximum wait for a slot, limited by the time that its caller has left.
     pub max_wait: Duration,
@@ -80,9 +81,8 @@
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Place {
     priority: u8,
-    /// Whether the request is expected to miss its due time. If due times alone decided,
-    /// slots would go to answers that are late anyway, while new requests become late
-    /// behind them.
+    /// Whether the request is expected to miss its due time. If due times alone decided, slots
+    /// would go to requests that end late anyway, while new requests become late behind them.
     is_late: bool,
     due: Instant,
     /// Orders requests that are otherwise equal by arrival.
--- a/src/coordination/decision/reach.rs
+++ b/src/coordination/decision/reach.rs
@@ -5,9 +5,9 @@
 //! probed in the background ([`probe`](crate::coordination::probe)) with exponential
 //! backoff, and get requests again once they answer.
 //!
-//! If several nodes of one failure domain stop answering in a row, and no node of it
-//! answers in between, the domain counts as partitioned: no requests go to it, and one of
-//! its nodes at a time is probed on behalf of all. So a partition costs a node a few failed
+//! If several nodes of one failure domain stop answering one after the other, and no node of it
+//! answers in between, the domain counts as partitioned: no requests go to it, and one of its
+//! nodes at a time is probed on behalf of all. So a partition costs a node a few failed
 //! requests, however many nodes the failure domain has.
 
 use std::{
@@ -34,8 +34,8 @@
 /// [`MAX_PAUSE`] because a whole domain without requests leaves far more capacity unused.
 const MAX_DOMAIN_PAUSE: Duration = Duration::from_secs(1);
 
-/// Nodes of one failure domain that stop answering in a row before the domain counts as
-/// partitioned. One node may be a dead host and two a coincidence; in a partition, every
+/// Nodes of one failure domain that stop answering one after the other before the domain counts
+/// as partitioned. One node may be a dead host and two a coincidence; in a partition, every
 /// node that is asked fails to answer.
 const PARTITION_NODES: u32 = 3;
 
@@ -96,7 +96,8 @@
     fn extend(&mut self, max_pause: Duration, now: Instant) {
         self.failures += 1;
         let pause = (FIRST_PAUSE * 2u32.saturating_pow(self.failures.min(8))).min(max_pause);
-        // Jitter, so that nodes which found the same node unreachable don't probe it in step.
+        // Jitter, so that nodes which found the same node unreachable don't probe it at the
+        // same times.
         self.next_probe = now + pause.mul_f64(0.8 + 0.4 * fastrand::f64());
         self.is_probing = false;
     }
@@ -131,7 +132,7 @@
                 backoff: Backoff::new(now),
             });
         // Only a failure during a probe extends the backoff. Any other one is of a request that
-        // was sent before the node became unreachable, and tells nothing new.
+        // was sent before the node became unreachable, and is no new evidence.
         if outage.backoff.is_probing {
             outage.backoff.extend(MAX_PAUSE, now);
         }
@@ -183,7 +184,8 @@
         };
         state.unanswered = 0;
         if let Some(outage) = state.outage.take() {
-            // The first nodes failed some time before the domain counted as partitioned.
+            // The first nodes failed before the domain counted as partitioned. Outages that
+            // began up to `MAX_PAUSE` before that are attributed to the partition.
             let began = outage.since.checked_sub(MAX_PAUSE).unwrap_or(outage.since);
             self.nodes
                 .retain(|_, node| node.domain != *domain || node.since < began);
--- a/src/coordination/decision/retry_budget.rs
+++ b/src/coordination/decision/retry_budget.rs
@@ -1,13 +1,13 @@
 //! The retry budget of the fleet, and this node's share of it.
 //!
 //! Within any window, the fleet as a whole may retry a share of the requests for a service,
-//! plus a fixed slack. No node counts for the fleet: each one retries a share of the requests
-//! that it sent itself, plus its part of the slack, so the sum holds however traffic shifts
-//! between nodes.
+//! plus a fixed slack. No node counts the requests of the fleet. Each node retries a share of
+//! the requests that it sent itself, plus its part of the slack, so the sum holds however
+//! traffic shifts between nodes.
 //!
-//! A repeat, a request that runs after another target refused or failed it, makes calls. To
-//! the called services these are extra arrivals, too. They are sent by the node beside the
-//! target that runs the repeat, so this node counts them against its own share, estimated
+//! A repeat is a run of a request that another target has already seen. It makes calls, which
+//! are extra arrivals for the called services, too. The node beside the target that runs the
+//! repeat sends these calls, so it counts them against its own share. It estimates their number
 //! from the [`runs`](super::runs) under way. Once they use up its share, its target runs no
 //! more repeats.
 
@@ -41,7 +41,7 @@
 pub struct Rule {
     /// Retries allowed per request.
     pub ratio: f64,
-    /// Retries allowed in each window besides, for the whole fleet.
+    /// Further retries allowed in each window, for the whole fleet.
     pub slack: f64,
     /// The length of the window.
     pub window: Duration,
@@ -156,10 +156,10 @@
 
     /// Records that a target has seen a request for `service` for the first time.
     ///
-    /// Only such requests make calls, so only they may allow for the calls that repeats make
-    /// to other services. Under overload most first sends are refused before any target sees
-    /// them. When these counted like the others, they allowed repeats whose calls alone were
-    /// a fifth of what the requests for the called service allow.
+    /// Only such requests make calls, so only they earn budget for the calls that repeats make
+    /// to other services. Under overload, most first sends are refused before any target sees
+    /// them. When those earned budget as well, they allowed repeats whose calls alone were a
+    /// fifth of what the requests for the called service allow.
     pub fn note_arrival(&mut self, service: &Name, now: Instant) {
         self.step(service, now).arrived += 1;
     }
@@ -169,8 +169,8 @@
     pub fn spend(&mut self, service: &Name, retry: Retry, nodes: usize, now: Instant) -> bool {
         let steps = self.services.get(service);
         let usage = self.used(steps.into_iter().flatten(), nodes, now);
-        // Calls of repeats arrive at the same targets as this node's own retries. When only
-        // the retries were counted here, the calls came on top of them.
+        // Calls of repeats arrive at the same targets as this node's own retries. When only the
+        // retries were counted here, the calls were extra arrivals beyond the budget.
         let has_room = usage.extra_arrivals() + 1.0 <= USED_SHARE * usage.allowed;
         let is_left = has_room
             && (retry == Retry::NotRun
@@ -201,10 +201,10 @@
 
     /// Returns the sums over the `steps` of a service.
     ///
-    /// Retries are summed over a little more than the window, the requests that allow them
-    /// only over the window. When the requests were summed over more, a quiet period allowed
-    /// a tenth more retries than its share within the seconds after it: 154 for 1,000
-    /// requests in place of 140.
+    /// Retries are summed over the window and one more step, the requests that earn their
+    /// budget over the window only. When the requests were summed over the longer time, too,
+    /// the retries in the seconds after a quiet period exceeded their share by a tenth: 154 for
+    /// 1,000 requests in place of 140.
     fn used<'a>(
         &self,
         steps: impl IntoIterator<Item = &'a Step>,
--- a/src/coordination/decision/rollout/canary.rs
+++ b/src/coordination/decision/rollout/canary.rs
@@ -2,7 +2,7 @@
 //!
 //! The share counts arrivals at targets, not requests: while a service is overloaded, the
 //! targets of the serving release reject half of the requests sent to them, whereas those on
-//! trial have room for all that they get. Each node keeps to the share on its own, so all
+//! trial have free slots for all that they get. Each node keeps to the share on its own, so all
 //! nodes together keep to it, too.
 
 use std::{collections::HashMap, sync::Arc};
@@ -22,7 +22,7 @@
 /// and a duration of 16 s, that is 0.8 s of all requests.
 pub const TRIAL_FRACTION: f64 = 0.5;
 
-/// The greatest number of requests that a node can save up for a trial, so that a pause is
+/// The greatest number of requests that a node can accumulate for a trial, so that a pause is
 /// not followed by a burst.
 const MAX_BUDGET: f64 = 2.0;
 
--- a/src/coordination/decision/rollout/judge.rs
+++ b/src/coordination/decision/rollout/judge.rs
@@ -1,28 +1,29 @@
-//! The next stage of an order, from the verdicts of the nodes beside the new targets.
+//! The next stage of a roll-out, from the verdicts of the nodes beside the new targets.
 //!
-//! A release gets all requests only when the order's deadline requires it. A release that
+//! A release gets all requests only when the roll-out's deadline requires it. A release that
 //! turns bad late then still has a small share.
 
 use std::time::Duration;
 
 use crate::state::rollout::Stage;
 
-/// How long before the order's deadline a release that passed its trial gets all requests.
-/// A new stage reaches all nodes within 0.5 s, and what the old targets run then ends within
-/// another 1.5 s; it has to, since they are stopped as soon as the order is completed.
+/// How long before the roll-out's deadline a release that passed its trial gets all requests. A
+/// new stage reaches all nodes within 0.5 s, and requests that are still running at targets of
+/// the serving release end within another 1.5 s. They have to, since those targets are stopped
+/// as soon as the roll-out is completed.
 const FULL_TRAFFIC_LEAD: Duration = Duration::from_millis(3000);
 
-/// How long before its deadline an order is completed or rolled back. Covers twice the time
-/// of a call to a store that is slowed down from its usual 4 ms to 60 times that, and the
-/// error of the wall clock at a node that has just restarted.
+/// How long before its deadline a roll-out is completed or rolled back. Covers twice the time
+/// of a call to a store that is slowed down from its usual 4 ms to 60 times that, and the error
+/// of the wall clock at a node that has just restarted.
 const FINISH_LEAD: Duration = Duration::from_millis(900);
 
-/// The shortest time for which the new release has all requests before the order is
-/// completed, so that no request runs at the old targets any more.
+/// The shortest time for which the new release has all requests before the roll-out is
+/// completed, so that targets of the serving release run no requests any more.
 const MIN_FULL_TRAFFIC: Duration = Duration::from_millis(1500);
 
-/// [`FULL_TRAFFIC_LEAD`] and [`FINISH_LEAD`] are each at most the order's duration divided by
-/// this.
+/// [`FULL_TRAFFIC_LEAD`] and [`FINISH_LEAD`] are each at most the roll-out's duration divided
+/// by this.
 const LEAD_DIVISOR: u32 = 4;
 
 /// The number of failing targets that rolls a release back. One target may fail for a reason
@@ -34,11 +35,11 @@
 /// dozens of targets, a few are slow for reasons other than their release.
 const FAILING_DIVISOR: usize = 8;
 
-/// The least ratio of the slots of the new targets to those of the old ones. With fewer, the
-/// service would reject requests that it serves now.
+/// The least ratio of the slots of the new targets to those of the targets of the serving
+/// release. With fewer, the service would reject requests that it serves now.
 const MIN_SLOT_RATIO: f64 = 0.6;
 
-/// Counts of the targets of an order's service.
+/// Counts of the targets of a roll-out's service.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct TargetCounts {
     /// Targets of the new release that are alive and not draining.
@@ -53,7 +54,7 @@
     pub old_slots: u32,
 }
 
-/// The facts about an order from which its next stage follows.
+/// The facts about a roll-out from which its next stage follows.
 #[derive(Clone, Copy, Debug)]
 pub struct Input {
     /// The current stage.
@@ -62,13 +63,13 @@
     pub age: Duration,
     /// The time since this node learned of the current stage.
     pub in_stage: Duration,
-    /// The time that the order allows for the roll-out.
+    /// How long the order allows the roll-out to take.
     pub duration: Duration,
-    /// The targets of the order's service.
+    /// The targets of the roll-out's service.
     pub targets: TargetCounts,
 }
 
-/// Returns a text for operators that states what the order waits for.
+/// Returns a text for operators that states what the roll-out waits for.
 pub fn waits_for(input: &Input) -> &'static str {
     let TargetCounts {
         passing, failing, ..
@@ -83,7 +84,7 @@
     }
 }
 
-/// Returns the next stage of an order and the reason for it, or `None` if the order has
+/// Returns the next stage of a roll-out and the reason for it, or `None` if the roll-out has
 /// ended or stays in its stage for now.
 pub fn next_stage(input: &Input) -> Option<(Stage, &'static str)> {
     let Input { targets, .. } = input;
--- a/src/coordination/decision/runs.rs
+++ b/src/coordination/decision/runs.rs
@@ -6,7 +6,8 @@
 //! progress has made it, so the share of repeats among them is the probability that a repeat
 //! made it. Which run it was need not be known.
 
-/// Counts of the requests that targets are running, and of the repeats among them.
+/// Counts of the requests that targets are running, and of the repeats among them: requests
+/// that another target has already seen.
 ///
 /// # Example
 ///
@@ -17,9 +18,9 @@
 /// for is_repeat in [false, false, false, true] {
 ///     runs.start(is_repeat);
 /// }
-/// assert_eq!(runs.repeats(), 0.25);
+/// assert_eq!(runs.repeat_share(), 0.25);
 /// runs.end(true);
-/// assert_eq!(runs.repeats(), 0.0);
+/// assert_eq!(runs.repeat_share(), 0.0);
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Runs {
