--- a/src/coordination/rollout/controller.rs
+++ b/src/coordination/rollout/controller.rs
@@ -1,5 +1,5 @@
-//! Carries out orders for roll-outs, at each node that reads the store for its failure
-//! domain.
+//! Advances the roll-outs that operators ordered, at each node that reads the store for its
+//! failure domain.
 //!
 //! Several nodes may do so at once. The status that operators read is written by
 //! compare-and-set: only if the store's log of statuses still ends where it did when it was
@@ -51,13 +51,13 @@
 /// are at most one for each failure domain.
 const MAX_ATTEMPTS: usize = 8;
 
-/// Carries out orders while this node reads the store; never returns.
+/// Advances roll-outs while this node reads the store; never returns.
 pub async fn run(host: Arc<Host>, store: Store) {
     host.until_membership_settled().await;
     let mut reading = host.reading();
     let mut due = DueStages::default();
     loop {
-        // This can't fail: the host keeps the sender.
+        // This can't fail: `host` owns the sender.
         let _ = reading.wait_for(|is_reader| *is_reader).await;
         for rollout in host.rollouts.due_for_republish() {
             if let Err(error) = publish(&host, &store, &rollout).await {
@@ -79,8 +79,8 @@
     }
 }
 
-/// The next stage of each service's roll-out: the order, the stage, and the time since which
-/// it is due.
+/// The next stage of each service's roll-out: the id of the order, the stage, and the time
+/// since which it is due.
 type DueStages = BTreeMap<Name, (u64, Stage, Instant)>;
 
 /// Advances a roll-out if its next stage has been due for the time that this node's failure
@@ -275,7 +275,7 @@
     }
 }
 
-/// Counts the targets of an order's service.
+/// Counts the targets of a roll-out's service.
 fn count_targets(table: &Table, rollout: &Rollout) -> TargetCounts {
     let mut counts = TargetCounts::default();
     for member in table.offers(&rollout.service) {
--- a/src/coordination/rollout/local.rs
+++ b/src/coordination/rollout/local.rs
@@ -14,8 +14,8 @@
 pub fn receive(host: &Host, rollouts: Vec<Rollout>, from: &str) {
     let now = Instant::now();
     for rollout in rollouts {
-        // A node that has been running learns of an order when it is given. One that has
-        // just started has only the wall clock, which may be wrong by seconds.
+        // A node that has been running learns of an order when it is given. A node that has
+        // just started computes the age from the wall clock, which may be wrong by seconds.
         let age = match host.is_membership_settled() {
             true => Duration::ZERO,
             false => elapsed_since(rollout.began).min(rollout.duration.duration()),
@@ -43,8 +43,8 @@
     target.map_or(Role::Serving, |target| host.rollouts.role(target, &members))
 }
 
-/// Counts an answer of this node's target towards the trial of its release, if there is one.
-/// `usual` is the share of bad answers that the answer's sender sees of the serving release.
+/// Counts a response of this node's target towards the trial of its release, if there is one.
+/// `usual` is the share of bad responses that the request's sender sees of the serving release.
 pub fn assess(host: &Host, answer: &Answer<'_>, usual: f64) {
     let mut local = host.local.lock();
     let changed = local
--- a/src/coordination/rollout/mod.rs
+++ b/src/coordination/rollout/mod.rs
@@ -2,7 +2,7 @@
 //! of this node's target.
 //!
 //! * [`local`]: receives roll-outs and applies them to this node's target;
-//! * [`controller`]: carries out orders, at the nodes that read the store.
+//! * [`controller`]: advances roll-outs, at the nodes that read the store.
 
 pub mod controller;
 pub mod local;
@@ -60,7 +60,7 @@
     /// roll-outs are disabled.
     share: Option<f64>,
     state: Mutex<State>,
-    /// Wakes the task that carries out orders.
+    /// Wakes the task that advances roll-outs.
     pub changed: Notify,
 }
 
@@ -71,9 +71,9 @@
     times: BTreeMap<Name, Times>,
     budget: Budget,
     baseline: Baseline,
-    /// Services whose roll-out has ended and has to be published again.
+    /// Services whose roll-out has ended, and whose final stage has to be published once more.
     republish: Vec<Name>,
-    /// The trial of this node's target, with the order and the target's instance.
+    /// The trial of this node's target, with the id of the order and the target's instance.
     trial: Option<(u64, Instance, Trial)>,
 }
 
@@ -89,7 +89,7 @@
 /// A roll-out with its age and the time in its stage.
 #[derive(Clone, Debug)]
 pub struct Tracked {
-    /// The order and its stage.
+    /// The roll-out and its stage.
     pub rollout: Rollout,
     /// The time since the order was given, as far as this node knows.
     pub age: Duration,
@@ -105,7 +105,7 @@
     stage_at: Instant,
 }
 
-/// An answer of a target, as evidence about its release.
+/// A response of a target, as evidence about its release.
 #[derive(Clone, Copy, Debug)]
 pub struct Answer<'a> {
     /// The route of the request.
@@ -125,8 +125,8 @@
 }
 
 impl Rollouts {
-    /// Returns an instance that knows of no order. Without a `share`, roll-outs are disabled
-    /// and all releases are treated alike.
+    /// Returns an instance without roll-outs. Without a `share`, roll-outs are disabled and all
+    /// releases are treated alike.
     pub fn new(share: Option<f64>) -> Self {
         Self {
             share,
@@ -180,10 +180,10 @@
         self.state.lock().latest.iter().cloned().collect()
     }
 
-    /// Returns the ended roll-outs that have to be published again, and clears their list.
+    /// Returns the ended roll-outs that have to be published once more, and clears their list.
     ///
-    /// They are those for which an earlier stage was received after their end: a partitioned
-    /// node wrote it late, and a node that starts would read it last.
+    /// They are those for which an earlier stage was received after their end. A partitioned
+    /// node wrote that stage late, and a node that starts would read it as the last one.
     pub fn due_for_republish(&self) -> Vec<Rollout> {
         let mut state = self.state.lock();
         let services = std::mem::take(&mut state.republish);
@@ -193,7 +193,7 @@
         rollouts.cloned().collect()
     }
 
-    /// Schedules the end of a roll-out to be published again.
+    /// Schedules the final stage of a roll-out to be published once more.
     pub fn republish(&self, service: &Name) {
         self.state.lock().republish.push(service.clone());
         self.changed.notify_one();
@@ -252,8 +252,8 @@
         self.state.lock().budget.refund(service);
     }
 
-    /// Records how an attempt at a target of a service ended: whether the request arrived,
-    /// and the answer if there is one.
+    /// Records how an attempt at a target of a service ended: whether the request arrived, and
+    /// the response if there is one.
     pub fn record_attempt(
         &self,
         target: Option<&Target>,
@@ -284,7 +284,7 @@
         self.share.is_some() && self.state.lock().evaluated(service).is_some()
     }
 
-    /// Returns the share of bad answers on a route, as this node sees it of the serving
+    /// Returns the share of bad responses on a route, as this node sees it of the serving
     /// releases.
     pub fn baseline(&self, route: &Name) -> f64 {
         match self.share {
@@ -319,11 +319,11 @@
         }
     }
 
-    /// Counts an answer of this node's target towards the trial of its release, if there is
-    /// one. `baseline` is the share of bad answers that the answer's sender sees of the
+    /// Counts a response of this node's target towards the trial of its release, if there is
+    /// one. `baseline` is the share of bad responses that the request's sender sees of the
     /// serving release.
     ///
-    /// Returns the verdict on the target if it changed, with the numbers of all answers and
+    /// Returns the verdict on the target if it changed, with the numbers of all responses and
     /// of bad ones so far.
     pub fn assess(
         &self,
@@ -351,9 +351,9 @@
     }
 }
 
-/// Returns the serving targets of a service for which no order is known: those of the release
-/// that most of the service's targets have. Targets of another release may be there already,
-/// before this node learns of the order that names their release.
+/// Returns the serving targets of a service for which no roll-out is known: those of the
+/// release that most of the service's targets have. Targets of another release may already have
+/// started, before this node learns of the order that names their release.
 fn without_order(service: &Name, table: &Table) -> Subset {
     if !table.has_releases(service) {
         return Subset::All;
