--- a/src/coordination/decision/quarantine/recent.rs
+++ b/src/coordination/decision/quarantine/recent.rs
@@ -4,8 +4,8 @@
 
 use crate::state::fingerprint::Fingerprint;
 
-/// Slots of the table: as many as the requests that a node sends and runs in 15 seconds, in 32
-/// KB. A request whose entry is overwritten within [`RECENT_SECONDS`] no longer counts as
+/// Slots of the table: as many as the requests that a node sends and runs in 15 seconds, in
+/// 32 KB. A request whose entry is overwritten within [`RECENT_SECONDS`] no longer counts as
 /// answered recently.
 const SLOTS: usize = 2048;
 
--- a/src/coordination/flow.rs
+++ b/src/coordination/flow.rs
@@ -4,8 +4,9 @@
 //! Outgoing: a target that runs a dozen downloads at a time can produce, in a moment, as much
 //! as a slow link transfers in a second. When all of it was queued in the operating system,
 //! versions and heartbeats of this host waited behind it, and so did the acknowledgements of
-//! incoming data: on links of 15 Mbit/s, nodes got a version seconds late. So large answers
-//! are sent one after the other at the rate of the link. None waits while the link has room.
+//! incoming data: on links of 15 Mbit/s, nodes got a version seconds late. So large responses
+//! are sent one after the other at the rate of the link. None waits while the link has free
+//! bandwidth.
 //!
 //! Incoming: a body that the link can't transfer in time is rejected before it is sent
 //! ([`link_share`](crate::coordination::decision::link_share)).
@@ -28,7 +29,7 @@
 #[derive(Debug)]
 pub struct Flow {
     share: Arc<Mutex<LinkShare>>,
-    /// When the link will have transferred every body that [`Flow::enter`] let through.
+    /// When the link will have transferred every body that [`Flow::wait_for_link`] let through.
     free_at: tokio::sync::Mutex<Option<Instant>>,
 }
 
@@ -69,8 +70,8 @@
         })
     }
 
-    /// Waits until the link has room for a body of `bytes`. Bodies are let through in the
-    /// order of the calls. If the future is dropped while it waits, its body takes no
+    /// Waits until the link has free bandwidth for a body of `bytes`. Bodies are let through in
+    /// the order of the calls. If the future is dropped while it waits, its body takes no
     /// bandwidth.
     pub async fn wait_for_link(&self, bytes: usize) {
         let transfer_time = {
@@ -80,9 +81,9 @@
             }
             share.transfer_time(bytes)
         };
-        // The lock is held while the first body in the queue waits, and the time is added
-        // only after the wait. Were it added before, it would still count after the caller
-        // gave up, and an overloaded link would stay overloaded.
+        // The lock is held while the first body in the queue waits, and its transfer time is
+        // added only after the wait. If the time were added before, it would still count after
+        // the caller gave up, and an overloaded link would stay overloaded.
         let mut free_at = self.free_at.lock().await;
         let now = Instant::now();
         let begins = free_at.map_or(now, |free_at| free_at.max(now));
--- a/src/coordination/gate.rs
+++ b/src/coordination/gate.rs
@@ -1,9 +1,9 @@
 //! Admission to the target on this host.
 //!
-//! A target is reached only through the node beside it, so the gate knows all requests that
-//! the target runs. A refusal by the gate always has the outcome "not run". The decision on
-//! admission is made in [`queue`](crate::coordination::decision::queue); the gate wakes the
-//! tasks that wait.
+//! A target is reached only through the node beside it, so the gate knows all requests that the
+//! target runs. A rejection by the gate is a [`Refusal`] that always has the outcome "not run".
+//! The decision on admission is made in [`queue`](crate::coordination::decision::queue); the
+//! gate wakes the tasks that wait.
 
 use std::{
     net::SocketAddr,
@@ -58,7 +58,7 @@
 struct State {
     target: Option<Target>,
     is_closed: bool,
-    /// The senders wake waiting tasks. A task whose sender is dropped is refused.
+    /// The senders wake waiting tasks. A task whose sender is dropped is rejected.
     queue: Queue<oneshot::Sender<()>>,
     runs: Runs,
 }
@@ -80,16 +80,16 @@
     }
 }
 
-/// Reason of a refusal while the target is leaving.
+/// Reason of a rejection while the target or this node is leaving.
 pub const LEAVING: &str = "target is leaving";
 
-/// Reason of a refusal while the gate has no target.
+/// Reason of a rejection while the gate has no target.
 pub const NO_TARGET: &str = "no target is here";
 
-/// Reason of a refusal for lack of a free slot.
+/// Reason of a rejection for lack of a free slot.
 pub const FULL: &str = "target is full";
 
-/// Returns the refusal of a request because the gate has no target.
+/// Returns the [`Refusal`] of a request that is rejected because the gate has no target.
 pub fn no_target() -> Refusal {
     Unavailable::NoTarget.refusal()
 }
@@ -104,7 +104,7 @@
     pub fn set_target(&self, target: Target) {
         let mut state = self.state.lock();
         let current = state.target.as_ref();
-        // The run times of an earlier instance say nothing about this one.
+        // The run times of an earlier instance don't apply to this one.
         if current.is_none_or(|current| current.instance != target.instance) {
             state.queue.reset_run_times();
         }
@@ -114,7 +114,7 @@
         state.admit_next();
     }
 
-    /// Closes the gate: refuses waiting requests and all later ones.
+    /// Closes the gate: rejects waiting requests and all later ones.
     pub fn close(&self) {
         let mut state = self.state.lock();
         state.is_closed = true;
@@ -161,7 +161,7 @@
     ///
     /// # Errors
     ///
-    /// The refusal. It comes at once if the gate is closed, there is no target, or no slot is
+    /// The rejection. It comes at once if the gate is closed, there is no target, or no slot is
     /// expected to be free in time.
     pub async fn acquire(&self, arrival: Arrival) -> Result<Permit, Refusal> {
         let (sender, mut receiver) = oneshot::channel();
@@ -172,7 +172,7 @@
             }
             match state.queue.admit(&arrival, sender, Instant::now()) {
                 Admission::Admitted => return Ok(self.permit(&state)),
-                Admission::Rejected => return Err(state.refuse_full(&arrival)),
+                Admission::Rejected => return Err(state.reject_full(&arrival)),
                 Admission::Queued {
                     place, max_wait, ..
                 } => (place, max_wait),
@@ -203,18 +203,18 @@
                 // one displaced it.
                 Err(state
                     .unavailable()
-                    .map_or_else(|| state.refuse_full(&arrival), Unavailable::refusal))
+                    .map_or_else(|| state.reject_full(&arrival), Unavailable::refusal))
             }
-            Err(_) => Err(self.state.lock().refuse_full(&arrival)),
+            Err(_) => Err(self.state.lock().reject_full(&arrival)),
         }
     }
 
     /// Checks whether a request could be admitted or wait now. It is used before the body of
-    /// the request is asked for, so that no body is sent in vain.
+    /// the request is asked for, so that no body is sent for a request that is then rejected.
     ///
     /// # Errors
     ///
-    /// The refusal that the request would get.
+    /// The rejection that the request would get.
     pub fn check(&self, arrival: &Arrival) -> Result<(), Refusal> {
         let state = self.state.lock();
         if let Some(unavailable) = state.unavailable() {
@@ -222,7 +222,7 @@
         }
         match state.queue.may_admit(arrival, Instant::now()) {
             true => Ok(()),
-            false => Err(state.refuse_full(arrival)),
+            false => Err(state.reject_full(arrival)),
         }
     }
 
@@ -258,7 +258,7 @@
         let Some(place) = self.place else { return };
         let was_waiting = self.gate.state.lock().queue.cancel(&place);
         // If it had left the queue already, it was either granted a slot, which is freed here,
-        // or refused, and holds none.
+        // or rejected, and holds none.
         if !was_waiting && self.receiver.try_recv().is_ok() {
             self.gate.release(None);
         }
@@ -276,7 +276,7 @@
         }
     }
 
-    fn refuse_full(&self, arrival: &Arrival) -> Refusal {
+    fn reject_full(&self, arrival: &Arrival) -> Refusal {
         let retry_after = self
             .queue
             .retry_after(arrival, fastrand::f64(), Instant::now());
--- a/src/coordination/host.rs
+++ b/src/coordination/host.rs
@@ -1,4 +1,4 @@
-//! The state that the duties of one host process share.
+//! The state that the tasks of one node share, on a platform with its own store.
 
 use std::{
     collections::VecDeque,
@@ -55,12 +55,12 @@
 /// whole version.
 const MAX_PAST_VERSIONS: usize = 8;
 
-/// Members in one batch up to which each member has its own log line; a larger batch has
-/// one line. With hundreds of lines of members, a starting node of a large fleet lost
-/// the log lines of its first requests.
+/// Members in one batch up to which each member has its own log line; a larger batch has one
+/// line. With hundreds of lines of members, a starting node of a large fleet dropped the log
+/// lines of its first requests.
 const MAX_LOGGED_MEMBERS: usize = 16;
 
-/// The shared state of a host process.
+/// The shared state of a node.
 pub struct Host {
     /// The settings.
     pub settings: Settings,
@@ -76,7 +76,7 @@
     pub local: Mutex<Local>,
     /// The known members.
     pub members: RwLock<Table>,
-    /// Load, speed and failures of other nodes' targets, for target selection.
+    /// Load, slowdown and failures of other nodes' targets, for target selection.
     pub balancer: Mutex<Balancer>,
     /// The retry budget.
     pub retry_budget: Mutex<RetryBudget>,
@@ -84,15 +84,15 @@
     pub request_ages: Mutex<Ages>,
     /// Which requests are quarantined because targets crash under them.
     pub quarantine: SharedQuarantine,
-    /// Paces large responses over the host's network link.
+    /// Limits large responses to the rate of the host's network link.
     pub response_flow: Flow,
     /// Weighted distribution of requests on split routes.
     pub split: Mutex<Split>,
     /// Which release of a service receives its requests.
     pub rollouts: Rollouts,
-    /// Wakes the duty that writes this node's record to the store.
+    /// Wakes the task that writes this node's record to the store.
     pub own_record_changed: Notify,
-    /// Wakes the duty that probes unreachable nodes.
+    /// Wakes the task that probes unreachable nodes.
     pub node_unreachable: Notify,
     grace: Mutex<Span>,
     is_leaving: AtomicBool,
@@ -103,8 +103,8 @@
     offsets: [watch::Sender<Option<u64>>; 2],
     is_membership_settled: watch::Sender<bool>,
     is_reading: watch::Sender<bool>,
-    /// Nodes directly before this one in the ranking that can't read the store, so that
-    /// this node reads it in their place.
+    /// The number of consecutive failed readers directly before this node in the ranking: nodes
+    /// that can't read the store, so that this node reads it in their place.
     failed_readers: AtomicU8,
     /// Whether this node can't read the store either.
     is_store_unreadable: AtomicBool,
@@ -274,8 +274,8 @@
             }
         };
         let (version, routes) = (table.version, table.len());
-        // Only the duty that follows the store and peers stores versions, so no newer
-        // version can have been stored since the check above.
+        // Only the task that follows the store and peers puts versions in force, so no newer
+        // one can have come into force since the check above.
         self.routes.store(Some(Arc::new(table)));
         *self.in_force_since.lock() = Some(Instant::now());
         let mut past_versions = self.past_versions.lock();
@@ -452,8 +452,8 @@
         }
     }
 
-    /// Returns how many consecutive nodes of the ranking, up to and including this one,
-    /// can't read the store; 0 if this node can, or is not a reader.
+    /// Returns the number of consecutive failed readers: nodes of the ranking, up to and
+    /// including this one, that can't read the store; 0 if this node can, or is not a reader.
     fn consecutive_failed_readers(&self) -> u8 {
         let has_failed =
             *self.is_reading.borrow() && self.is_store_unreadable.load(Ordering::Relaxed);
@@ -548,7 +548,7 @@
         let _ = tokio::time::timeout(max_wait, is_up.wait_for(|is_up| *is_up)).await;
     }
 
-    /// Returns whether a duty that follows the store retries its reads while they fail.
+    /// Returns whether a task that follows the store retries its reads while they fail.
     pub fn is_polling_store(&self) -> bool {
         *self.is_reading.borrow() || self.offset(Stream::Members).is_none()
     }
--- a/src/coordination/interface.rs
+++ b/src/coordination/interface.rs
@@ -128,6 +128,6 @@
     /// Asks for the version and the offsets that the node has reached. The answer is a
     /// [`Progress`](crate::protocol::update::Progress).
     Progress,
-    /// Delivers records that another node read, to apply and to relay.
+    /// Delivers records that another node read, to apply and to forward.
     Deliver(Update),
 }
--- a/src/coordination/local.rs
+++ b/src/coordination/local.rs
@@ -14,7 +14,7 @@
     unit::Span,
 };
 
-/// Heartbeats in a row that may be missing before a target is considered gone. Single
+/// Consecutive heartbeats that may be missing before a target is considered gone. Single
 /// heartbeats are often late, and a wrong decision takes a working target out of use.
 const MAX_MISSED_HEARTBEATS: u32 = 4;
 
@@ -41,7 +41,7 @@
     has_left: bool,
 }
 
-/// The instance that is taken for the running one.
+/// The instance that is considered running, or was until it was considered gone.
 #[derive(Clone, Debug)]
 struct Current {
     target: Target,
@@ -246,7 +246,7 @@
         self.current.as_ref().map(|current| &current.target)
     }
 
-    /// Records the verdict on the target's release, from its canary stage.
+    /// Records the verdict on the target from the trial of its release.
     pub fn judge(&mut self, verdict: Verdict) {
         if let Some(current) = &mut self.current {
             current.target.verdict = Some(verdict);
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,30 +1,35 @@
 //! Coordination: how nodes cooperate, and how each node decides on requests.
 //!
-//! A daemon on a platform with a log runs these duties, each on its own thread:
+//! A node is one process of this system: a daemon on a platform with a log, or a host process
+//! on a platform with its own store. A daemon runs these tasks, each on its own thread, beside
+//! the threads that serve requests and peers:
 //!
 //! * [`apply`]: applies log records and publishes views;
 //! * [`gossip`]: maintains the table of members;
-//! * [`follow`]: reads the log for the failure domain and distributes its records.
+//! * [`follow`]: reads the log for the failure domain and distributes its records;
+//! * [`snapshot`]: writes snapshots to the log.
 //!
-//! The duties and the request path are built from:
+//! The tasks and the request path are built from:
 //!
-//! * [`node`]: the state that all duties of one daemon share;
-//! * [`interface`]: the interfaces to peers and the log, as closures;
-//! * [`rank`]: which nodes read, relay and write;
+//! * [`node`]: the state that all tasks of one daemon share;
+//! * [`interface`]: the interfaces to peers, the log and the store, as closures;
+//! * [`rank`]: which nodes read the log or store, write snapshots, and ping each other;
 //! * [`scatter`]: sends one message to many nodes and counts their replies;
 //! * [`catchup`]: how a node that is behind catches up;
+//! * [`publish`]: publishes an operator's changes through the log;
 //! * [`pick`], [`health`], [`budget`]: target selection and retries;
 //! * [`admit`], [`door`], [`once`]: admission to a target, at most once per key.
 //!
-//! A host process on a platform with its own store uses other parts:
+//! A host process uses other parts:
 //!
-//! * [`host`]: the state that its duties share;
+//! * [`host`]: the state that its tasks share;
 //! * [`source`]: loads whole versions of the routes, and the members, from the store or
 //!   from peers;
 //! * [`watch`], [`spread`]: which node reads the store for its failure domain, and how the
 //!   other nodes receive what it read;
+//! * [`probe`]: probes unreachable nodes;
 //! * [`local`], [`presence`]: the target on this host, and what is published about it;
-//! * [`gate`]: admission to that target;
+//! * [`gate`], [`flow`]: admission to that target, and of large bodies to the host's link;
 //! * [`quarantine`]: which requests are quarantined because targets crash under them;
 //! * [`rollout`]: which release of a service receives its requests;
 //! * [`decision`]: queueing, load shedding, target selection and retries.
--- a/src/coordination/presence.rs
+++ b/src/coordination/presence.rs
@@ -47,7 +47,7 @@
     quarantine::restore(&host);
     let mut member = recorded.as_deref().cloned();
     if member.is_none() {
-        // Saves a record: the first one already has the target.
+        // Avoids a second write: the first record then already has the target.
         drop(tokio::time::timeout(FIRST_HEARTBEAT_WAIT, host.own_record_changed.notified()).await);
     }
     let mut failures = 0;
@@ -97,7 +97,7 @@
                         why = why
                     );
                 }
-                host.until_store_answers(source::pause_beside(&host, failures))
+                host.until_store_answers(source::pause_while_others_retry(&host, failures))
                     .await;
                 failures += 1;
             }
@@ -114,10 +114,10 @@
     is_later.then(|| known.as_ref().clone())
 }
 
-/// Returns the record that marks a member as gone whose address this node has now. The
-/// member's host was replaced by this one under another name, and no other node will ever
-/// record that. Without such a record, every node asks the old member in vain, once in each
-/// incarnation, and the member table grows with each replaced host.
+/// Returns the record that marks a member as gone whose address this node has now. The member's
+/// host was replaced by this one under another name, and no other node will ever record that.
+/// Without such a record, each node would try in each of its incarnations to reach the old
+/// member, and the member table would grow with each replaced host.
 fn replaced_member(host: &Host) -> Option<Member> {
     let inbound = host.settings.advertised().inbound;
     let members = host.members.read();
--- a/src/coordination/quarantine.rs
+++ b/src/coordination/quarantine.rs
@@ -29,8 +29,8 @@
 /// of each other, so one record reports all of them.
 const GATHER_DELAY: Duration = Duration::from_millis(20);
 
-/// The interval of reviews without news, for times that expire, while any request is suspected
-/// or quarantined.
+/// The interval of reviews without new evidence, for times that expire, while any request is
+/// suspected or quarantined.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The quarantine of this node, shared by the tasks that use it.
--- a/src/coordination/source.rs
+++ b/src/coordination/source.rs
@@ -37,15 +37,15 @@
 };
 
 /// How long a read of the routes waits at the store for a new version. A store that stops
-/// responding never answers the reads that wait there, not even after its return, and only
-/// a timeout distinguishes it from a store without changes. Together with the timeout of an
-/// answer the wait must end within 3 s: that soon after an outage, changes must be in force
+/// responding never answers the reads that wait there, not even after its return, and only a
+/// timeout distinguishes it from a store without changes. Together with the timeout of an
+/// answer, the wait must end within 3 s: from 3 s after an outage on, changes must be in force
 /// in time again.
 const ROUTES_MAX_WAIT: Span = Span::from_millis(1500);
 
 /// How long a read of the members waits at the store for a new record. The platform allows
-/// 30 s; this is a little less, so that its answer ends the wait and not this node's timeout.
-/// When a read of the routes fails, the read of the members is restarted.
+/// 30 s; this is a little less, so that the platform's answer ends the wait and not this node's
+/// timeout. When a read of the routes fails, the read of the members is restarted.
 const MEMBERS_MAX_WAIT: Span = Span::from_secs(25);
 
 /// The pause after the first failed call; it doubles up to [`MAX_PAUSE`].
@@ -66,17 +66,17 @@
 /// its version 1.2 s after its start. For 15 nodes the store needs 0.1 s at 80 MB/s.
 const FIRST_RANKED: usize = 3;
 
-/// How long the other starting nodes wait for a peer's version before they read the store:
-/// as long as a fleet of hundreds needs to pass one on over links of 10 Mbit/s.
+/// How long the other starting nodes wait for a peer's version before they read the store: as
+/// long as a fleet of hundreds needs to forward a version over links of 10 Mbit/s.
 const PEER_WAIT: Duration = Duration::from_millis(1200);
 
-/// The pause between two rounds of asking peers for a first version. It is about the time
-/// in which a first-ranked node reads and decodes one of 450 KB over a link of 100 Mbit/s.
+/// The pause between two rounds of asking peers for a first version. It is about the time in
+/// which a first-ranked node reads and decodes a version of 450 KB over a link of 100 Mbit/s.
 const PEER_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// How long a duty waits for another duty of this process that retries its calls to a
-/// failing store; one call per round is enough to notice the store's return. Longer than
-/// [`MAX_PAUSE`] plus the duration of a call.
+/// How long a task waits for another task of this process that retries its calls to a failing
+/// store; one call per round is enough to notice the store's return. Longer than [`MAX_PAUSE`]
+/// plus the duration of a call.
 const STORE_RETURN_WAIT: Duration = Duration::from_secs(2);
 
 /// Peers of the own failure domain, and as many of the others, that are asked in one round
@@ -84,8 +84,8 @@
 const PEERS_PER_GROUP: usize = 2;
 
 /// How long a node that is not in the store yet waits before it reads the members again and
-/// takes up a role. By then the nodes of a fleet that starts as a whole have written their
-/// records, each with its target's first heartbeat (1.5 s).
+/// counts the membership as settled. By then the nodes of a fleet that starts as a whole have
+/// written their records, each with its target's first heartbeat (1.5 s).
 const SETTLE_TIME: Duration = Duration::from_millis(2800);
 
 /// The pause after a read of members, so that changes in quick succession cost one call.
@@ -119,7 +119,7 @@
 
 /// Loads a first version from a peer, or from the store if no peer has one.
 ///
-/// A peer sends it in half the bytes and without a call to the store. In a fleet that
+/// A peer sends a version in half the bytes and without a call to the store. In a fleet that
 /// starts as a whole no peer has one.
 async fn load_first_routes(host: &Arc<Host>, store: &Store, call_peer: &CallPeer) {
     host.until_members_known().await;
@@ -192,7 +192,7 @@
     let mut is_behind = false;
     loop {
         // Without an offset, or when this node is behind, the stream is read as a whole, which
-        // includes all that the earlier records say.
+        // includes the content of the earlier records.
         let from = host.offset(stream).filter(|_| !is_behind);
         let read = match from {
             Some(from) => (store.tail)(stream, from, max_wait(stream)),
@@ -277,7 +277,7 @@
     tokio::spawn(spread::to_domain(host.clone(), call_peer.clone(), update));
 }
 
-/// Applies records that another node read, and relays them.
+/// Applies records that another node read, and forwards them.
 pub fn apply_update(host: &Arc<Host>, call_peer: &CallPeer, mut update: Update) {
     if !update.relay.is_empty() {
         let relayed = Update {
@@ -299,6 +299,8 @@
     if is_whole {
         host.advance_offset(stream, update.next);
     } else {
+        // Earlier records are missing here, so a sync is needed whatever the version: the highest
+        // number counts as newer in any case.
         host.note_newer(u64::MAX, update.next, update.reader);
     }
 }
@@ -318,9 +320,9 @@
     span.mul_f64(0.8 + 0.4 * fastrand::f64())
 }
 
-/// Returns the pause of a duty after `failures` consecutive failed calls. It is longer
-/// while another duty of this process retries, because that one notices the store's return.
-pub fn pause_beside(host: &Host, failures: u32) -> Duration {
+/// Returns the pause of a task after `failures` consecutive failed calls. It is longer while
+/// another task of this process retries, because that one notices the store's return.
+pub fn pause_while_others_retry(host: &Host, failures: u32) -> Duration {
     if host.is_polling_store() {
         STORE_RETURN_WAIT
     } else {
--- a/src/coordination/spread.rs
+++ b/src/coordination/spread.rs
@@ -49,8 +49,8 @@
     );
 }
 
-/// Sends `update` to the nodes in its `relay` list, each child passing it on to its part.
-/// Returns how many nodes did not answer when they were asked to be a child.
+/// Forwards `update` to the nodes in its `relay` list; each child forwards it to its part of
+/// them. Returns how many nodes did not answer when they were asked to be a child.
 pub fn relay(call_peer: CallPeer, update: Update) -> BoxFuture<'static, usize> {
     async move {
         let parts = scatter::split(&update.relay, FANOUT);
@@ -62,8 +62,8 @@
     .boxed()
 }
 
-/// Sends `update` to the first node of `part` that answers, for it to pass on to the nodes after
-/// it. Returns how many nodes did not answer.
+/// Forwards `update` to the first node of `part` that answers, which forwards it to the nodes
+/// after it. Returns how many nodes did not answer.
 async fn send_branch(call_peer: CallPeer, update: Update, mut part: Vec<SocketAddr>) -> usize {
     let mut missed = 0;
     while !part.is_empty() {
--- a/src/coordination/watch.rs
+++ b/src/coordination/watch.rs
@@ -31,10 +31,11 @@
 };
 
 /// The pause between checks. With the time to ask the predecessor and to read the store, the
-/// failure of a reader costs well under the 2 s in which a version must be in force.
+/// failure of a reader delays a version by well under the 2 s in which it must be in force.
 const CHECK_PAUSE: Duration = Duration::from_millis(700);
 
-/// How long an unreachable node is left out of the ranking.
+/// How long an unreachable node is left out of the ranking: longer than a search takes that
+/// passes all nodes of a partitioned failure domain.
 const SKIP_TIME: Duration = Duration::from_secs(6);
 
 /// Predecessors that are asked at a time at most, once the nearest ones are unreachable.
