--- a/src/state/evidence.rs
+++ b/src/state/evidence.rs
@@ -32,9 +32,9 @@
     pub content: Fingerprint,
     /// Targets that have crashed under the request, as far as the node knew when its own did.
     pub ends: u8,
-    /// How often the request had been cleared before. A higher [`Cleared::times`] from any node
-    /// overrules this entry, also when the node that reported the entry is gone and can't
-    /// withdraw it.
+    /// The clear count of the request before: how often it had been cleared. A higher
+    /// [`Cleared::times`] from any node overrules this entry, also when the node that reported
+    /// the entry is gone and can't withdraw it.
     pub round: u32,
 }
 
@@ -43,7 +43,8 @@
 pub struct Cleared {
     /// The fingerprint of the request.
     pub content: Fingerprint,
-    /// How often the request has been cleared in all, as far as the node knew.
+    /// The clear count of the request: how often it has been cleared in all, as far as the node
+    /// knew.
     pub times: u32,
 }
 
--- a/src/state/rollout.rs
+++ b/src/state/rollout.rs
@@ -1,9 +1,9 @@
 //! Roll-outs: the requests of a service move from the targets of one release to those of
 //! another.
 //!
-//! An operator's order names the new release and how long the roll-out may take. Nodes pass
-//! the state of an order on as a [`Rollout`], whose [`Stage`] only moves forward. [`Latest`]
-//! holds the latest roll-out of each service.
+//! An operator's order names the new release and how long the roll-out may take. Nodes send the
+//! state of a roll-out to each other as a [`Rollout`], whose [`Stage`] only moves forward.
+//! [`Latest`] holds the latest roll-out of each service.
 //!
 //! ```
 //! use rilltrack::{
@@ -40,14 +40,15 @@
     words::words,
 };
 
-/// An operator's order to move a service to another release, and its stage.
+/// A roll-out: an operator's order to move a service to another release, and the stage that was
+/// reached.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Rollout {
     /// The service.
     pub service: Name,
-    /// The offset of the order in the store. A later order has a greater offset.
+    /// The id of the order: its offset in the store. A later order has a greater offset.
     pub order: u64,
-    /// The release that serves until the new one does, if it is known.
+    /// The serving release, which serves until the new one does, if it is known.
     pub from: Option<Release>,
     /// The new release.
     pub to: Release,
@@ -68,8 +69,8 @@
     Ordered,
     /// A few targets of the new release get a small share of the requests.
     Trial,
-    /// Targets of the new release get all requests; those of the old one are still there, as
-    /// a fallback and for a rollback.
+    /// Targets of the new release get all requests. Targets of the release that served before
+    /// still run, as a fallback and for a rollback.
     Moving,
     /// Final: the new release serves.
     Completed,
@@ -103,7 +104,7 @@
 pub enum Role {
     /// Any request for its service.
     Serving,
-    /// A small share of the requests for its service.
+    /// A small share of the requests for its service: the target is on trial.
     Canary,
     /// No requests.
     Excluded,
@@ -111,7 +112,7 @@
 
 impl Rollout {
     /// Returns the release that serves if this roll-out goes no further: the new one once the
-    /// roll-out is completed, the old one before that, if it is known.
+    /// roll-out is completed; before that, the one that it replaces, if that is known.
     pub fn serving(&self) -> Option<&Release> {
         match self.stage {
             Stage::Completed => Some(&self.to),
@@ -137,7 +138,8 @@
         }
     }
 
-    /// Returns the key by which one roll-out of a service is later than another.
+    /// Returns the sort key of this roll-out: of two roll-outs of a service, the later one has
+    /// the greater key.
     fn rank(&self) -> (u64, Stage) {
         (self.order, self.stage)
     }
@@ -177,7 +179,7 @@
     }
 
     /// Returns which requests a target of a service may get, by its release, or `None` if no
-    /// order for the service is known.
+    /// roll-out of the service is known.
     pub fn role(&self, service: &Name, release: &Release) -> Option<Role> {
         self.get(service).map(|rollout| rollout.role(release))
     }
