--- a/src/protocol/announce.rs
+++ b/src/protocol/announce.rs
@@ -12,7 +12,8 @@
 /// The path to which a target posts its [`Announcement`], as JSON.
 pub const PATH: &str = "/targets";
 
-/// A target's announcement, which is also its heartbeat.
+/// A target's announcement, on a platform with a log. The target sends it repeatedly, each time
+/// with a new [`Lease`] in the answer.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Announcement {
@@ -35,7 +36,8 @@
     pub expires_after: Span,
 }
 
-/// A target's heartbeat to the node on its host, sent every few seconds.
+/// A target's heartbeat to the node on its host, on a platform with its own store. It is sent
+/// at the heartbeat interval of the settings.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Heartbeat {
     /// The sending instance of the target.
--- a/src/protocol/dialect.rs
+++ b/src/protocol/dialect.rs
@@ -10,8 +10,8 @@
 /// The platform's names of the headers that the relay reads or writes.
 #[derive(Clone, Debug)]
 pub struct Dialect {
-    /// The id of one attempt of a caller. Targets echo it, so that a late response to
-    /// another request can be told apart.
+    /// The id that a caller gives to one attempt. Targets echo it, so that a late response to
+    /// another request is recognized.
     pub attempt_id: HeaderName,
     /// Milliseconds that the sender waits for the response.
     pub deadline: HeaderName,
@@ -54,9 +54,12 @@
     /// mean.
     const FACTOR_BOUNDS: (f64, f64) = (0.2, 8.0);
 
+    /// The shortest usual run time that is used, in seconds; avoids a division by zero.
+    const MIN_USUAL_SECONDS: f64 = 1e-4;
+
     /// Returns the slowdown of one request that took `took` instead of `usual`.
     pub fn from_run(took: Duration, usual: Duration) -> Self {
-        let usual = usual.as_secs_f64().max(1e-4);
+        let usual = usual.as_secs_f64().max(Self::MIN_USUAL_SECONDS);
         let (min, max) = Self::FACTOR_BOUNDS;
         Self((took.as_secs_f64() / usual).clamp(min, max))
     }
--- a/src/protocol/operator.rs
+++ b/src/protocol/operator.rs
@@ -19,8 +19,8 @@
     },
 };
 
-/// A quarantined request. On the users' platform, the response to `GET /held` of a node
-/// lists them.
+/// A quarantined request. On a platform with its own store, the response to `GET /held` of a
+/// node lists them.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Quarantined {
     /// The fingerprint of the request.
@@ -31,11 +31,11 @@
     pub since_ms: u64,
 }
 
-/// The progress of a service's latest roll-out. On the users' platform, the response to
-/// `GET /rollouts` of a node lists one per service.
+/// The progress of a service's latest roll-out. On a platform with its own store, the response
+/// to `GET /rollouts` of a node lists one per service.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Progress {
-    /// The state of the order.
+    /// The roll-out and its stage.
     pub rollout: Rollout,
     /// The age of the order in milliseconds, as far as the node knows.
     pub age_ms: u64,
--- a/src/protocol/update.rs
+++ b/src/protocol/update.rs
@@ -16,12 +16,13 @@
     pub next: u64,
     /// The content of the records.
     pub load: Changes,
-    /// Orders for roll-outs among the records.
+    /// Roll-outs whose orders are among the records.
     #[serde(default)]
     pub rollouts: Vec<Rollout>,
     /// The nodes to which the receiver forwards the records.
     pub relay: Vec<SocketAddr>,
-    /// The node that read the records. A receiver that missed some requests them from it.
+    /// The node that read the records. A receiver that lacks earlier records fetches them from
+    /// this node.
     pub reader: SocketAddr,
 }
 
@@ -63,8 +64,8 @@
     /// The offset up to which the node knows the routes; 0 if it does not know the offset
     /// of its version.
     pub routes: u64,
-    /// The number of consecutive nodes in the ranking of readers, up to and including this
-    /// one, that can't reach the store; 0 if this node can or is no reader.
+    /// The number of consecutive failed readers: nodes in the ranking, up to and including this
+    /// one, that can't read the store; 0 if this node can or is not a reader.
     pub blind: u8,
 }
 
