--- a/src/coordination/decision/age.rs
+++ b/src/coordination/decision/age.rs
@@ -22,8 +22,8 @@
 /// Requests of a route after which its initial time is estimated anew.
 const REQUESTS_PER_ESTIMATE: usize = 8;
 
-/// Callers send their time left in whole milliseconds. Differences up to this from the initial
-/// time are treated as rounding errors.
+/// Largest difference from the initial time that is treated as a rounding error: callers send
+/// their time left in whole milliseconds.
 const MAX_ROUNDING: Duration = Duration::from_millis(2);
 
 /// Recent samples of the time that callers of each route had left.
--- a/src/coordination/decision/balance.rs
+++ b/src/coordination/decision/balance.rs
@@ -65,8 +65,8 @@
 const NEWEST_WEIGHT: f64 = 0.1;
 
 /// Time after which about two thirds of an observed slowdown have decayed. It is longer than
-/// some faults of targets last, but far below minutes, so that a target that was slow is tried
-/// again.
+/// some faults of targets last, but well below a minute, so that a target that was slow is
+/// tried again.
 const SLOWDOWN_DECAY: Duration = Duration::from_secs(10);
 
 /// Weight of a reported slowdown in the moving average for its target. The target's node has
--- a/src/coordination/decision/quarantine/mod.rs
+++ b/src/coordination/decision/quarantine/mod.rs
@@ -445,8 +445,8 @@
         let clear_counts = &self.clear_counts;
         self.own.held.retain(|entry| {
             let answered = answered.get(&entry.content);
-            let times = clear_counts.get(&entry.content).copied().unwrap_or(0);
-            entry.round >= times
+            let clear_count = clear_counts.get(&entry.content).copied().unwrap_or(0);
+            entry.round >= clear_count
                 && (answered.is_none() || answered <= entries_at.get(&entry.content))
         });
         let cleared_at = &self.own_cleared_at;
--- a/src/coordination/decision/quarantine/reports.rs
+++ b/src/coordination/decision/quarantine/reports.rs
@@ -98,8 +98,8 @@
         let node = Some(peer.node).filter(|_| peer.is_present);
         peer.evidence.held.iter().map(move |entry| (node, entry))
     });
-    let times = |content: &Fingerprint| clear_counts.get(content).copied().unwrap_or(0);
-    let is_valid = |(_, entry): &(_, &QuarantineEntry)| entry.round >= times(&entry.content);
+    let clear_count = |content: &Fingerprint| clear_counts.get(content).copied().unwrap_or(0);
+    let is_valid = |(_, entry): &(_, &QuarantineEntry)| entry.round >= clear_count(&entry.content);
     let mut reported: HashMap<Fingerprint, Reported<'a>> = HashMap::new();
     for (node, entry) in own.chain(theirs).filter(is_valid) {
         let all = reported.entry(entry.content).or_insert(Reported {
--- a/src/coordination/decision/retry_budget.rs
+++ b/src/coordination/decision/retry_budget.rs
@@ -1,7 +1,7 @@
 //! The retry budget of the fleet, and this node's share of it.
 //!
 //! Within any window, the fleet as a whole may retry a share of the requests for a service,
-//! plus a fixed slack. No node counts the requests of the fleet. Each node retries a share of
+//! plus a fixed slack. No node counts the requests of the fleet. Each node may retry a share of
 //! the requests that it sent itself, plus its part of the slack, so the sum holds however
 //! traffic shifts between nodes.
 //!
--- a/src/coordination/decision/rollout/judge.rs
+++ b/src/coordination/decision/rollout/judge.rs
@@ -1,4 +1,5 @@
-//! The next stage of a roll-out, from the verdicts of the nodes beside the new targets.
+//! The next stage of a roll-out, from the verdicts of the nodes beside targets of the new
+//! release.
 //!
 //! A release gets all requests only when the roll-out's deadline requires it. A release that
 //! turns bad late then still has a small share.
@@ -35,8 +36,8 @@
 /// dozens of targets, a few are slow for reasons other than their release.
 const FAILING_DIVISOR: usize = 8;
 
-/// The least ratio of the slots of the new targets to those of the targets of the serving
-/// release. With fewer, the service would reject requests that it serves now.
+/// The least ratio of the slots of the new release's targets to those of the serving release's
+/// targets. With fewer, the service would reject requests that it serves now.
 const MIN_SLOT_RATIO: f64 = 0.6;
 
 /// Counts of the targets of a roll-out's service.
--- a/src/coordination/local.rs
+++ b/src/coordination/local.rs
@@ -41,7 +41,7 @@
     has_left: bool,
 }
 
-/// The instance that is considered running, or was until it was considered gone.
+/// The latest instance. It is considered running while `last_heartbeat` is set.
 #[derive(Clone, Debug)]
 struct Current {
     target: Target,
