--- a/examples/capacity.rs
+++ b/examples/capacity.rs
@@ -361,12 +361,12 @@
     );
     let since = Instant::now();
     for _ in 0..20 {
-        black_box(rank::reader(&table, &domain, &node));
+        black_box(rank::reader_rank(&table, &domain, &node));
     }
     series.add("rank_reader", targets, mean_micros(since, 20));
     let since = Instant::now();
     for _ in 0..20 {
-        black_box(rank::writer(&table, &node));
+        black_box(rank::writer_rank(&table, &node));
     }
     series.add("rank_writer", targets, mean_micros(since, 20));
     let since = Instant::now();
@@ -377,12 +377,12 @@
 
     let since = Instant::now();
     for _ in 0..20 {
-        black_box(rank::partners(&table, &domain, &node).len());
+        black_box(rank::probe_peers(&table, &domain, &node).len());
     }
     series.add("partners", targets, mean_micros(since, 20));
     let since = Instant::now();
     for _ in 0..20 {
-        black_box(rank::far_partners(&table, &domain, &node).len());
+        black_box(rank::remote_probe_peers(&table, &domain, &node).len());
     }
     series.add("far_partners", targets, mean_micros(since, 20));
     let since = Instant::now();
@@ -402,7 +402,7 @@
         let candidates: Vec<Candidate> = offers
             .iter()
             .map(|m| {
-                let (cost, ejected) = health.look(&m.node, m.incarnation, 12, now);
+                let (cost, ejected) = health.assess(&m.node, m.incarnation, 12, now);
                 Candidate {
                     distance: if m.domain == domain {
                         Distance::Domain
@@ -410,7 +410,7 @@
                         Distance::Beyond
                     },
                     cost,
-                    ejected,
+                    is_ejected: ejected,
                 }
             })
             .collect();
--- a/examples/fleet.rs
+++ b/examples/fleet.rs
@@ -480,7 +480,7 @@
     }
     members.into_iter().find(|i| {
         let node: Node = format!("node-{i}").parse().expect("a valid name");
-        rank::reader(&table, &name, &node) == 0
+        rank::reader_rank(&table, &name, &node) == 0
     })
 }
 
--- a/src/coordination/apply.rs
+++ b/src/coordination/apply.rs
@@ -84,7 +84,11 @@
     ///
     /// If records are missing between the applied version and `from`, or if a record
     /// needs a newer version of this program.
-    pub async fn records(&self, from: Version, records: Vec<Bytes>) -> Result<Version, Error> {
+    pub async fn apply_records(
+        &self,
+        from: Version,
+        records: Vec<Bytes>,
+    ) -> Result<Version, Error> {
         self.submit(|done| Job::Records {
             from,
             records,
@@ -100,7 +104,7 @@
     /// # Errors
     ///
     /// If the snapshot is damaged or needs a newer version of this program.
-    pub async fn snapshot(&self, bytes: Bytes) -> Result<Version, Error> {
+    pub async fn load_snapshot(&self, bytes: Bytes) -> Result<Version, Error> {
         self.submit(|done| Job::Snapshot { bytes, done }).await?
     }
 
@@ -124,19 +128,19 @@
     /// # Errors
     ///
     /// Only if the daemon is ending.
-    pub async fn complete(&self) -> Result<(), Error> {
+    pub async fn mark_complete(&self) -> Result<(), Error> {
         self.jobs
             .send(Job::Complete)
             .await
             .map_err(|_| Error::Ending)
     }
 
-    /// Returns the result of `look`, run on the state machine by the applying thread.
+    /// Returns the result of `inspect`, run on the state machine by the applying thread.
     ///
     /// # Errors
     ///
     /// Only if the daemon is ending.
-    pub async fn look<T, F>(&self, look: F) -> Result<T, Error>
+    pub async fn inspect<T, F>(&self, inspect: F) -> Result<T, Error>
     where
         T: Send + 'static,
         F: FnOnce(&Machine) -> T + Send + 'static,
@@ -144,7 +148,7 @@
         self.submit(|done| {
             Job::Inspect(Box::new(move |machine| {
                 // Fails only if the requester no longer waits for the result.
-                let _ = done.send(look(machine));
+                let _ = done.send(inspect(machine));
             }))
         })
         .await
@@ -155,7 +159,7 @@
     /// # Errors
     ///
     /// Only if the daemon is ending.
-    pub async fn reached(&self, version: Version) -> Result<(), Error> {
+    pub async fn wait_for(&self, version: Version) -> Result<(), Error> {
         let mut watch = self.version.clone();
         let result = watch.wait_for(|held| *held >= version).await;
         result.map(|_| ()).map_err(|_| Error::Ending)
@@ -209,19 +213,19 @@
                 from,
                 records,
                 done,
-            } => drop(done.send(self.records(from, records))),
-            Job::Snapshot { bytes, done } => drop(done.send(self.snapshot(&bytes))),
+            } => drop(done.send(self.apply_records(from, records))),
+            Job::Snapshot { bytes, done } => drop(done.send(self.load_snapshot(&bytes))),
             Job::Restore {
                 offset,
                 restore,
                 done,
             } => drop(done.send(Ok(self.restore(offset, &restore)))),
-            Job::Complete => self.complete(),
+            Job::Complete => self.mark_complete(),
             Job::Inspect(inspect) => inspect(&self.machine),
         }
     }
 
-    fn records(&mut self, from: Version, records: Vec<Bytes>) -> Result<Version, Error> {
+    fn apply_records(&mut self, from: Version, records: Vec<Bytes>) -> Result<Version, Error> {
         let held = self.machine.version();
         if from.epoch != held.epoch || from.offset > held.offset {
             return Err(crate::state::Error::Gap {
@@ -245,7 +249,7 @@
         Ok(self.machine.version())
     }
 
-    fn snapshot(&mut self, bytes: &Bytes) -> Result<Version, Error> {
+    fn load_snapshot(&mut self, bytes: &Bytes) -> Result<Version, Error> {
         let decoded = Machine::from_snapshot(bytes);
         if let Err(error) = &decoded {
             self.node
@@ -277,7 +281,7 @@
         is_continued
     }
 
-    fn complete(&mut self) {
+    fn mark_complete(&mut self) {
         if !self.is_complete {
             self.is_complete = true;
             self.put_in_force(None);
--- a/src/coordination/budget.rs
+++ b/src/coordination/budget.rs
@@ -26,13 +26,13 @@
 /// use rilltrack::{coordination::budget::Budget, unit::Percent};
 ///
 /// let mut budget = Budget::default();
-/// while budget.spend() {}
-/// (0..10).for_each(|_| budget.earn(Percent::new(10), 0.0));
-/// assert!(budget.spend());
-/// assert!(!budget.spend());
+/// while budget.try_spend() {}
+/// (0..10).for_each(|_| budget.note_first_send(Percent::new(10), 0.0));
+/// assert!(budget.try_spend());
+/// assert!(!budget.try_spend());
 /// // Calls of repeats use up what first attempts add.
-/// (0..10).for_each(|_| budget.earn(Percent::new(10), 0.1));
-/// assert!(!budget.spend());
+/// (0..10).for_each(|_| budget.note_first_send(Percent::new(10), 0.1));
+/// assert!(!budget.try_spend());
 /// ```
 #[derive(Clone, Debug)]
 pub struct Budget {
@@ -50,13 +50,13 @@
 impl Budget {
     /// Adds the tokens for one first attempt: `share` of a token, less `repeat_chance`,
     /// the probability that the attempt is a call of a repeat.
-    pub fn earn(&mut self, share: Percent, repeat_chance: f64) {
+    pub fn note_first_send(&mut self, share: Percent, repeat_chance: f64) {
         self.tokens =
             (self.tokens + share.fraction() - repeat_chance).clamp(-MAX_TOKENS, MAX_TOKENS);
     }
 
     /// Returns whether a retry may be made, and takes its token if so.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_spend(&mut self) -> bool {
         // The tolerance covers rounding errors: ten times 0.1 is slightly less than 1.
         let has_token = self.tokens + 1e-9 >= 1.0;
         if has_token {
--- a/src/coordination/catchup.rs
+++ b/src/coordination/catchup.rs
@@ -26,17 +26,17 @@
     call: &Call,
     peer: SocketAddr,
 ) -> Result<Option<Span>, Error> {
-    let held = node.applier.look(|machine| machine.version()).await?;
+    let held = node.applier.inspect(|machine| machine.version()).await?;
     let reply = call(peer, Frame::Fetch(held), FETCH_TIMEOUT).await?;
     let version = match reply {
-        Reply::Records(records) => node.applier.records(held, records).await?,
-        Reply::Snapshot(bytes) => node.applier.snapshot(bytes).await?,
+        Reply::Records(records) => node.applier.apply_records(held, records).await?,
+        Reply::Snapshot(bytes) => node.applier.load_snapshot(bytes).await?,
         Reply::Current => held,
         Reply::Later(pause) => return Ok(Some(pause)),
         _ => return Err(Error::Unexpected(peer.to_string())),
     };
     // A peer serves fetches only from a complete view, so this state is complete now.
-    node.applier.complete().await?;
+    node.applier.mark_complete().await?;
     if version > held {
         let details = format_args!("version={version} was={held} peer={peer}");
         node.journal.write(Event::CaughtUp, details);
@@ -49,12 +49,12 @@
 /// # Errors
 ///
 /// Only if the daemon is ending.
-pub async fn serve(node: &Arc<Node>, from: Version) -> Result<Reply, Error> {
+pub async fn answer_fetch(node: &Arc<Node>, from: Version) -> Result<Reply, Error> {
     if node.view.load().is_none() {
         return Ok(Reply::Later(jitter(Span::from_millis(500))));
     }
     node.applier
-        .look(move |machine| {
+        .inspect(move |machine| {
             if from >= machine.version() {
                 return Reply::Current;
             }
--- a/src/coordination/gossip.rs
+++ b/src/coordination/gossip.rs
@@ -211,7 +211,7 @@
 
     fn probe_peers(&self) -> Vec<Arc<Member>> {
         let settings = &self.node.settings;
-        rank::partners(&self.node.table.read(), &settings.domain, &settings.node)
+        rank::probe_peers(&self.node.table.read(), &settings.domain, &settings.node)
     }
 
     /// Does the work of one period: probes, pings to other failure domains, expiry and
@@ -271,7 +271,7 @@
             } else {
                 Status::Suspect
             };
-            self.node.absorb(vec![Member {
+            self.node.merge_members(vec![Member {
                 status,
                 ..held.as_ref().clone()
             }]);
@@ -325,7 +325,7 @@
         let suspect_for = self.node.settings.membership.suspect_for.duration();
         if member.status == Status::Suspect && elapsed >= suspect_for {
             let status = Status::Gone;
-            self.node.absorb(vec![Member {
+            self.node.merge_members(vec![Member {
                 status,
                 ..member.clone()
             }]);
@@ -357,7 +357,8 @@
 
     fn remote_peer(&self) -> Option<SocketAddr> {
         let settings = &self.node.settings;
-        let remote = rank::far_partners(&self.node.table.read(), &settings.domain, &settings.node);
+        let remote =
+            rank::remote_probe_peers(&self.node.table.read(), &settings.domain, &settings.node);
         fastrand::choice(remote).map(|member| member.peers)
     }
 
@@ -398,7 +399,7 @@
                 .map(|m| m.as_ref().clone())
                 .collect()
         };
-        self.node.absorb(members);
+        self.node.merge_members(members);
         if !lacking.is_empty() {
             // If the message is lost, the next comparison finds the same differences.
             let _ = (self.call)(peer, Frame::Tell(lacking), max_wait).await;
@@ -419,7 +420,7 @@
 /// If `peer` does not answer, or not with a [`Reply::Pong`].
 pub async fn ping(node: &Arc<Node>, call: &Call, peer: SocketAddr) -> Result<PingBody, Error> {
     let timeout = node.settings.membership.timeout;
-    let reply = call(peer, Frame::Ping(news(node)), timeout).await?;
+    let reply = call(peer, Frame::Ping(outgoing_updates(node)), timeout).await?;
     let Reply::Pong(news) = reply else {
         return Err(Error::Unexpected(peer.to_string()));
     };
@@ -429,7 +430,7 @@
 
 /// Returns this node's version and its next member updates, for a ping or the reply to
 /// one.
-pub fn news(node: &Arc<Node>) -> PingBody {
+pub fn outgoing_updates(node: &Arc<Node>) -> PingBody {
     let members = node.table.read().len();
     PingBody {
         node: node.settings.node.clone(),
@@ -442,7 +443,7 @@
 /// Merges the member updates in a peer's news; catches up in the background if the peer
 /// is ahead.
 pub fn apply_news(node: &Arc<Node>, call: &Call, news: PingBody) {
-    node.absorb(news.members);
+    node.merge_members(news.members);
     let held = node.version();
     if news.version == held {
         node.mark_current();
@@ -469,10 +470,10 @@
 ///
 /// If this node holds the sender as suspect or gone, the reply includes that record, so
 /// that the sender can refute it.
-pub fn answer(node: &Arc<Node>, call: &Call, from: PingBody) -> Reply {
+pub fn answer_ping(node: &Arc<Node>, call: &Call, from: PingBody) -> Reply {
     let sender = from.node.clone();
     apply_news(node, call, from);
-    let mut news = news(node);
+    let mut news = outgoing_updates(node);
     let held = node.table.read().get(&sender).cloned();
     let suspected = held.filter(|member| matches!(member.status, Status::Suspect | Status::Gone));
     news.members
@@ -484,7 +485,7 @@
 ///
 /// If it waited for the next ping, the node would still be sent work that it no longer
 /// accepts.
-pub async fn tell_at_once(node: &Arc<Node>, call: &Call, count: usize) {
+pub async fn announce_now(node: &Arc<Node>, call: &Call, count: usize) {
     let me = node.me();
     let mut peers: Vec<SocketAddr> = {
         let table = node.table.read();
--- a/src/coordination/health.rs
+++ b/src/coordination/health.rs
@@ -54,7 +54,7 @@
 
 /// How an attempt at a target ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum End {
+pub enum AttemptResult {
     /// The target answered; with the load that it reported, if any.
     Answered(Option<u32>),
     /// The target's proxy rejected the request because the target is full; with the
@@ -96,7 +96,7 @@
 
     /// Returns the cost of the target beside `node` as a percentage of `slots`, and
     /// whether it is ejected.
-    pub fn look(
+    pub fn assess(
         &mut self,
         node: &Node,
         incarnation: Incarnation,
@@ -122,30 +122,30 @@
     }
 
     /// Records how an attempt ended. Returns whether its failure ejected the target.
-    pub fn finish(&mut self, node: &Node, end: End, now: Instant) -> bool {
+    pub fn finish(&mut self, node: &Node, end: AttemptResult, now: Instant) -> bool {
         let Some(target) = self.targets.get_mut(node) else {
             return false;
         };
         target.outstanding = target.outstanding.saturating_sub(1);
         match end {
-            End::Answered(load) => {
+            AttemptResult::Answered(load) => {
                 target.reported = load.map(|load| (load, now));
                 target.failures = 0;
                 target.ejections = 0;
                 target.ejected_until = None;
                 false
             }
-            End::Shed(load) => {
+            AttemptResult::Shed(load) => {
                 // A target that sheds requests is full, even if it reports less load.
                 target.reported = Some((load.unwrap_or(0).max(100), now));
                 false
             }
-            End::Leaving => {
+            AttemptResult::Leaving => {
                 target.ejected_until = Some(now + DRAINING_EJECTION);
                 false
             }
-            End::Failed => target.record_failure(now),
-            End::Abandoned => false,
+            AttemptResult::Failed => target.record_failure(now),
+            AttemptResult::Abandoned => false,
         }
     }
 
--- a/src/coordination/once.rs
+++ b/src/coordination/idempotency.rs
@@ -90,7 +90,7 @@
 
 /// The decision on a keyed request.
 #[derive(Debug)]
-pub enum Begin {
+pub enum KeyedDecision {
     /// Run the request, and pass its result to [`Ledger::end`].
     Run,
     /// The request is running: wait for its result.
@@ -110,21 +110,21 @@
     entries: HashMap<u128, Entry>,
     /// Expiry times and secrets of the keys, oldest first.
     expiries: VecDeque<(u64, u128)>,
-    limits: Limits,
+    limits: LedgerLimits,
     /// The total size of the recorded answers.
     answer_bytes: usize,
 }
 
 /// The limits of a [`Ledger`].
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
+pub struct LedgerLimits {
     /// The most keys, used or not.
     pub keys: usize,
     /// How long a key lasts.
-    pub life: Span,
+    pub key_lifetime: Span,
     /// The total size of recorded answers. Beyond it requests still run, but their
     /// answers are not recorded, and repeats are refused with that reason.
-    pub answers: Size,
+    pub answer_bytes: Size,
 }
 
 #[derive(Debug)]
@@ -137,7 +137,7 @@
 
 impl Ledger {
     /// Returns an empty ledger.
-    pub fn new(limits: Limits) -> Self {
+    pub fn new(limits: LedgerLimits) -> Self {
         Self {
             entries: HashMap::new(),
             expiries: VecDeque::new(),
@@ -162,7 +162,7 @@
         };
         self.entries.insert(secret, entry);
         self.expiries
-            .push_back((now_ms + self.limits.life.as_millis(), secret));
+            .push_back((now_ms + self.limits.key_lifetime.as_millis(), secret));
         true
     }
 
@@ -180,25 +180,25 @@
     }
 
     /// Decides on a request with this digest under the key with this secret.
-    pub fn begin(&mut self, secret: u128, digest: u64, now_ms: u64) -> Begin {
+    pub fn begin(&mut self, secret: u128, digest: u64, now_ms: u64) -> KeyedDecision {
         self.expire(now_ms);
         let Some(entry) = self.entries.get_mut(&secret) else {
             // The key has expired. The request may have run before that.
             let reason = "the key has expired; what became of its request is not kept";
-            return Begin::Refuse(Refusal::unknown(410, reason));
+            return KeyedDecision::Refuse(Refusal::unknown(410, reason));
         };
         match entry.digest {
             None => {
                 entry.digest = Some(digest);
-                Begin::Run
+                KeyedDecision::Run
             }
-            Some(first) if first != digest => Begin::Refuse(Refusal::rejected(
+            Some(first) if first != digest => KeyedDecision::Refuse(Refusal::rejected(
                 422,
                 "the key was used for another request",
             )),
             Some(_) => match entry.result.borrow().clone() {
-                None => Begin::Join(entry.result.subscribe()),
-                Some(record) => Begin::Ended(record),
+                None => KeyedDecision::Join(entry.result.subscribe()),
+                Some(record) => KeyedDecision::Ended(record),
             },
         }
     }
@@ -206,7 +206,7 @@
     /// Records the result of the request under the key with this secret.
     pub fn end(&mut self, secret: u128, record: Record) {
         let size = size_of_answer(Some(&record));
-        let has_room = (self.answer_bytes + size) as u64 <= self.limits.answers.as_bytes();
+        let has_room = (self.answer_bytes + size) as u64 <= self.limits.answer_bytes.as_bytes();
         let Some(entry) = self.entries.get_mut(&secret) else {
             return;
         };
--- a/src/coordination/door.rs
+++ b/src/coordination/limiter.rs
@@ -14,7 +14,7 @@
 
 use crate::{
     coordination::{
-        admit::{Admission, Limiter, Ticket},
+        admission::{Admission, Limiter, Ticket},
         decision::runs::Runs,
     },
     id::Name,
@@ -36,11 +36,11 @@
 
 /// The concurrency limiters of all targets on one host, by service.
 #[derive(Debug, Default)]
-pub struct Doors {
+pub struct Limiters {
     limiters: Mutex<HashMap<Name, SharedLimiter>>,
 }
 
-impl Doors {
+impl Limiters {
     /// Returns the limiter of the target of `service`, set to the limits of
     /// `policy`.
     pub fn get(&self, service: &Name, policy: &Policy) -> SharedLimiter {
@@ -137,7 +137,7 @@
     }
 
     /// Returns the number of running requests.
-    pub fn running(&self) -> u32 {
+    pub fn running_count(&self) -> u32 {
         self.inner.lock().limiter.running_count()
     }
 
@@ -148,7 +148,7 @@
     /// Returns the refusal if the queue is full, if no slot becomes free or is expected
     /// to become free before the deadline, or if the target starts draining. The
     /// request has not run.
-    pub async fn enter(&self, class: Class, deadline: Instant) -> Result<Permit, Refusal> {
+    pub async fn acquire(&self, class: Class, deadline: Instant) -> Result<Permit, Refusal> {
         let (ticket, granted) = match self.admit(class, deadline)? {
             Entry::Admitted(permit) => return Ok(permit),
             Entry::Queued(ticket, granted) => (ticket, granted),
--- a/src/coordination/follow.rs
+++ b/src/coordination/log_reader.rs
@@ -51,7 +51,7 @@
 }
 
 /// The task that reads the log while this node is a reader.
-pub struct Follow {
+pub struct LogReader {
     node: Arc<Node>,
     call: Call,
     log: Log,
@@ -63,7 +63,7 @@
     scatter_from: Option<Version>,
 }
 
-impl Follow {
+impl LogReader {
     /// Returns the task for `node`.
     pub fn new(node: Arc<Node>, call: Call, log: Log) -> Self {
         Self {
@@ -103,7 +103,7 @@
 
     fn place(&self) -> usize {
         let settings = &self.node.settings;
-        rank::reader(&self.node.table.read(), &settings.domain, &settings.node)
+        rank::reader_rank(&self.node.table.read(), &settings.domain, &settings.node)
     }
 
     fn note_role(&mut self, place: usize) {
@@ -169,7 +169,11 @@
     ///
     /// A node without a view does not wait.
     async fn read(&mut self, place: usize) -> Result<Progress, Error> {
-        let held = self.node.applier.look(|machine| machine.version()).await?;
+        let held = self
+            .node
+            .applier
+            .inspect(|machine| machine.version())
+            .await?;
         let wait = if self.node.view.load().is_some() {
             self.node.settings.log.wait
         } else {
@@ -188,11 +192,11 @@
         }
         let next = batch.next;
         let from = *self.scatter_from.get_or_insert(held);
-        let applied = self.node.applier.records(held, batch.records).await?;
+        let applied = self.node.applier.apply_records(held, batch.records).await?;
         self.node.set_log_fault(None);
         if applied.offset >= next {
             self.node.mark_current();
-            self.node.applier.complete().await?;
+            self.node.applier.mark_complete().await?;
             // Scatters all batches since `from`: earlier ones may not have reached the
             // end of the log.
             self.scatter(from, place).await;
@@ -224,7 +228,7 @@
         let records = self
             .node
             .applier
-            .look(move |machine| machine.records(before))
+            .inspect(move |machine| machine.records(before))
             .await;
         let load = match records {
             Ok(Some(records)) => Payload::Records {
@@ -278,7 +282,7 @@
             );
             return Err(Error::Unexpected(what));
         }
-        self.node.applier.snapshot(bytes).await?;
+        self.node.applier.load_snapshot(bytes).await?;
         Ok(())
     }
 
@@ -343,7 +347,11 @@
 /// # Errors
 ///
 /// Only if the daemon is ending.
-pub async fn take(node: &Arc<Node>, call: &Call, scatter: Scatter) -> Result<Reply, Error> {
+pub async fn receive_scatter(
+    node: &Arc<Node>,
+    call: &Call,
+    scatter: Scatter,
+) -> Result<Reply, Error> {
     let Scatter {
         from,
         payload,
@@ -382,7 +390,7 @@
         records,
     } = payload
     {
-        let applied = node.applier.records(base, records).await;
+        let applied = node.applier.apply_records(base, records).await;
         if applied.is_err() && node.view.load().is_some() {
             // Records before these are missing; the sender has them.
             let _ = catchup::from_peer(node, call, from).await;
@@ -402,7 +410,7 @@
 }
 
 /// Fetches from random peers until this node has a view.
-pub async fn until_complete(node: Arc<Node>, call: Call) {
+pub async fn fetch_until_complete(node: Arc<Node>, call: Call) {
     while node.view.load().is_none() {
         let peer = {
             let table = node.table.read();
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -4,7 +4,7 @@
 //!
 //! * [`apply`]: applies log records and publishes views;
 //! * [`gossip`]: maintains the table of members;
-//! * [`follow`]: reads the log for the failure domain and distributes its records.
+//! * [`log_reader`]: reads the log for the failure domain and distributes its records.
 //!
 //! The duties and the request path are built from:
 //!
@@ -14,7 +14,7 @@
 //! * [`scatter`]: sends one message to many nodes and counts their replies;
 //! * [`catchup`]: how a node that is behind catches up;
 //! * [`pick`], [`health`], [`budget`]: target selection and retries;
-//! * [`admit`], [`door`], [`once`]: admission to a target, at most once per key.
+//! * [`admission`], [`limiter`], [`idempotency`]: admission to a target, at most once per key.
 //!
 //! A host process on a platform with its own store uses other parts:
 //!
@@ -32,22 +32,22 @@
 //! This layer opens no sockets. Its input and output are closures that the caller passes
 //! in, so that tests can replace them with small fakes.
 
-pub mod admit;
+pub mod admission;
 pub mod apply;
 pub mod budget;
 pub mod catchup;
 pub mod decision;
-pub mod door;
 pub mod flow;
-pub mod follow;
 pub mod gate;
 pub mod gossip;
 pub mod health;
 pub mod host;
+pub mod idempotency;
 pub mod interface;
+pub mod limiter;
 pub mod local;
+pub mod log_reader;
 pub mod node;
-pub mod once;
 
 pub mod pick;
 pub mod presence;
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -14,7 +14,7 @@
 use tokio::sync::Semaphore;
 
 use crate::{
-    coordination::{apply::Applier, door::Doors, gossip::UpdateQueue},
+    coordination::{apply::Applier, gossip::UpdateQueue, limiter::Limiters},
     event::{Event, Journal},
     id::Incarnation,
     metrics::Metrics,
@@ -55,7 +55,7 @@
     /// Member records that still have to be sent to peers.
     pub updates: Mutex<UpdateQueue>,
     /// Admission to the targets on this host.
-    pub doors: Doors,
+    pub limiters: Limiters,
     /// Handle to the thread that applies records.
     pub applier: Applier,
     /// The fault that keeps this node from following the log, if any.
@@ -103,7 +103,7 @@
             view: ArcSwapOption::empty(),
             table: RwLock::new(table),
             updates: Mutex::new(UpdateQueue::new(&me)),
-            doors: Doors::default(),
+            limiters: Limiters::default(),
             applier,
             log_fault: Mutex::new(None),
             large_replies: Arc::new(Semaphore::new(LARGE_REPLIES)),
@@ -158,7 +158,7 @@
     }
 
     /// Returns the milliseconds since the view was last known to be the newest.
-    pub fn age_ms(&self) -> u64 {
+    pub fn view_age_ms(&self) -> u64 {
         self.uptime_ms() - self.current_at_ms.load(Ordering::Relaxed)
     }
 
@@ -173,7 +173,7 @@
     }
 
     /// Applies `change` to this node's own member record and queues it for peers.
-    pub fn update(&self, change: impl FnOnce(&mut Member)) {
+    pub fn update_own_record(&self, change: impl FnOnce(&mut Member)) {
         let mut me = self.me.lock();
         change(&mut me);
         me.sequence += 1;
@@ -184,7 +184,7 @@
     /// Makes this node's own member record newer than `claim`, a record about this
     /// node that came from a peer.
     pub fn refute(&self, claim: &Member) {
-        self.update(|me| {
+        self.update_own_record(|me| {
             if claim.incarnation > me.incarnation {
                 me.incarnation = Incarnation(claim.incarnation.0 + 1);
             }
@@ -196,9 +196,9 @@
 
     /// Stops accepting new work and announces that this node is leaving and its
     /// targets are draining.
-    pub fn leave(&self) {
+    pub fn announce_leaving(&self) {
         self.stopping.store(true, Ordering::Relaxed);
-        self.update(|me| {
+        self.update_own_record(|me| {
             me.status = Status::Leaving;
             me.targets
                 .iter_mut()
@@ -217,7 +217,7 @@
         let details = details.collect::<Vec<_>>().join(" ");
         self.journal
             .write(Event::TargetChanged, format_args!("targets=[{details}]"));
-        self.update(|me| me.targets = targets);
+        self.update_own_record(|me| me.targets = targets);
         true
     }
 
@@ -228,7 +228,7 @@
     /// reaches a node with few known members. The other nodes know those records
     /// already, and relaying them would keep every node busy for minutes after each
     /// join.
-    pub fn absorb(&self, members: Vec<Member>) -> usize {
+    pub fn merge_members(&self, members: Vec<Member>) -> usize {
         let known = self.table.read().len();
         let is_relayed = members.len() <= ALWAYS_RELAYED || members.len() * 2 <= known;
         let mut updated = 0;
@@ -279,7 +279,7 @@
     /// Returns the fault that keeps this node from following the log.
     ///
     /// A [`LogFault::LogWentBack`] is no longer returned once a new epoch has begun.
-    pub fn trouble(&self) -> Option<LogFault> {
+    pub fn log_fault(&self) -> Option<LogFault> {
         let fault = self.log_fault.lock().clone();
         fault.filter(|fault| match fault {
             LogFault::LogDown(_) => true,
--- a/src/coordination/pick.rs
+++ b/src/coordination/pick.rs
@@ -17,7 +17,7 @@
     /// of a target in slow start.
     pub cost: u32,
     /// Whether it is ejected, as an outlier or because it is draining.
-    pub ejected: bool,
+    pub is_ejected: bool,
 }
 
 /// Why a target was chosen.
@@ -40,7 +40,7 @@
 pub fn pick(candidates: &[Candidate], rng: &mut Rng) -> Option<(usize, Reason)> {
     let mut cheapest: Option<usize> = None;
     for distance in [Distance::Domain, Distance::Region, Distance::Beyond] {
-        let is_eligible = |c: &Candidate| c.distance == distance && !c.ejected;
+        let is_eligible = |c: &Candidate| c.distance == distance && !c.is_ejected;
         let tier: Vec<usize> = (0..candidates.len())
             .filter(|i| is_eligible(&candidates[*i]))
             .collect();
--- a/src/coordination/publish.rs
+++ b/src/coordination/publish.rs
@@ -76,11 +76,15 @@
             "this node holds no complete view yet".into(),
         )));
     }
-    if let Some(fault @ LogFault::LogWentBack { .. }) = node.trouble() {
+    if let Some(fault @ LogFault::LogWentBack { .. }) = node.log_fault() {
         return Ok(Some(Published::NotAccepted(fault.to_string())));
     }
     let id = change.id.clone();
-    if let Some(outcome) = node.applier.look(move |m| m.outcome(&id).cloned()).await? {
+    if let Some(outcome) = node
+        .applier
+        .inspect(move |m| m.outcome(&id).cloned())
+        .await?
+    {
         return Ok(Some(Published::Decided(outcome)));
     }
     let mut problems = check(node, change).await?;
@@ -116,7 +120,7 @@
             )));
         }
     };
-    match timeout(DECISION_TIMEOUT.duration(), node.applier.reached(end)).await {
+    match timeout(DECISION_TIMEOUT.duration(), node.applier.wait_for(end)).await {
         Ok(reached) => reached.map(Ok),
         Err(_) => Ok(Err("this node lags behind the log".into())),
     }
@@ -136,7 +140,7 @@
             .err()
             .unwrap_or_default()
     };
-    node.applier.look(check).await
+    node.applier.inspect(check).await
 }
 
 /// Waits up to `max_wait` for the outcome of change `id`, whose record leads to `version`
@@ -149,11 +153,15 @@
 ) -> Result<Published, Error> {
     let wait = async {
         if let Some(version) = version {
-            node.applier.reached(version).await?;
+            node.applier.wait_for(version).await?;
         }
         loop {
             let id = id.clone();
-            if let Some(outcome) = node.applier.look(move |m| m.outcome(&id).cloned()).await? {
+            if let Some(outcome) = node
+                .applier
+                .inspect(move |m| m.outcome(&id).cloned())
+                .await?
+            {
                 return Ok::<_, Error>(outcome);
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -174,7 +182,7 @@
 ///
 /// If the log can't append the record, or the daemon is ending.
 pub async fn recover(node: &Arc<Node>, log: &Log, author: String) -> Result<Version, Error> {
-    let base: Anchor = node.applier.look(|machine| machine.anchor()).await?;
+    let base: Anchor = node.applier.inspect(|machine| machine.anchor()).await?;
     let restore = Restore {
         base,
         epoch: base.version.epoch + 1,
@@ -205,7 +213,7 @@
             "the log: it no longer holds the records up to version {version}"
         ))
     };
-    let held = node.applier.look(|machine| machine.version()).await?;
+    let held = node.applier.inspect(|machine| machine.version()).await?;
     if version.epoch != held.epoch || version > held {
         return Err(expired());
     }
--- a/src/coordination/rank.rs
+++ b/src/coordination/rank.rs
@@ -52,7 +52,7 @@
 /// Returns the rank of `node` among the alive members of `domain` for reading the log.
 ///
 /// The first [`READERS`] ranks read.
-pub fn reader(table: &Table, domain: &Name, node: &Node) -> usize {
+pub fn reader_rank(table: &Table, domain: &Name, node: &Node) -> usize {
     let others = table
         .iter()
         .filter(|m| m.status == Status::Alive && m.domain == *domain);
@@ -62,7 +62,7 @@
 /// Returns the rank of `node` among all alive members for writing snapshots.
 ///
 /// The node with rank 0 writes.
-pub fn writer(table: &Table, node: &Node) -> usize {
+pub fn writer_rank(table: &Table, node: &Node) -> usize {
     let others = table.iter().filter(|m| m.status == Status::Alive);
     place("writer", node, others.map(|m| &m.node))
 }
@@ -78,7 +78,7 @@
 /// They stay the same while no member joins or leaves, so connections to them are
 /// reused. With a random member each time, every ping would need a new connection
 /// and, with TLS, a handshake.
-pub fn partners(table: &Table, domain: &Name, node: &Node) -> Vec<Arc<Member>> {
+pub fn probe_peers(table: &Table, domain: &Name, node: &Node) -> Vec<Arc<Member>> {
     let mut ring = neighbours(table, domain, node);
     let order = seed("ring");
     let me = weight(order, node);
@@ -93,7 +93,7 @@
 }
 
 /// Returns the few members of other failure domains that `node` pings.
-pub fn far_partners(table: &Table, domain: &Name, node: &Node) -> Vec<Arc<Member>> {
+pub fn remote_probe_peers(table: &Table, domain: &Name, node: &Node) -> Vec<Arc<Member>> {
     let order = seed(node.as_str());
     let is_remote = |m: &&Arc<Member>| m.domain != *domain && m.is_present();
     let with_weight = |m| (weight(order, &Arc::<Member>::as_ref(m).node), m);
@@ -114,7 +114,7 @@
 ///
 /// Members with more bandwidth rank first, because the first member sends the data that
 /// all others need.
-pub fn before<'a>(
+pub fn predecessors<'a>(
     members: impl Iterator<Item = &'a Arc<Member>>,
     job: &str,
     node: &Node,
--- a/src/coordination/snapshot.rs
+++ b/src/coordination/snapshot.rs
@@ -79,7 +79,7 @@
 pub async fn write(node: &Arc<Node>, log: &Log) -> Result<Version, Error> {
     let (version, bytes) = node
         .applier
-        .look(|machine| (machine.version(), machine.snapshot()))
+        .inspect(|machine| (machine.version(), machine.snapshot()))
         .await?;
     let settings = &node.settings.log;
     let max = settings.max_record.as_bytes() - PART_OVERHEAD;
@@ -97,14 +97,14 @@
 
 /// Writes a snapshot at the configured interval while this node is the writer; never
 /// returns.
-pub async fn keep_written(node: Arc<Node>, log: Log) {
+pub async fn run_writer(node: Arc<Node>, log: Log) {
     let every = node.settings.log.snapshot_every;
     let mut due_ms = node.uptime_ms() + jitter(every).as_millis() / 2;
     loop {
         tokio::time::sleep(CHECK_INTERVAL.duration()).await;
         // The rank is computed last, because it takes a pass over all members.
         let is_due = node.uptime_ms() >= due_ms && node.is_ready() && !node.version().is_empty();
-        if !is_due || rank::writer(&node.table.read(), &node.settings.node) != 0 {
+        if !is_due || rank::writer_rank(&node.table.read(), &node.settings.node) != 0 {
             continue;
         }
         let pause = match write(&node, &log).await {
--- a/src/coordination/watch.rs
+++ b/src/coordination/watch.rs
@@ -124,7 +124,7 @@
             && !host.is_unreachable(&member.node, now)
     };
     let ranked = members.iter().filter(|member| is_ranked(member));
-    rank::before(ranked, JOB, &settings.node, settings.bandwidth())
+    rank::predecessors(ranked, JOB, &settings.node, settings.bandwidth())
 }
 
 /// Returns a random node of the other failure domains, whatever its rank.
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -13,9 +13,9 @@
 use crate::{
     coordination::{
         apply,
-        follow::{self, Follow},
         gossip::{self, Gossip},
         interface::{Call, Log},
+        log_reader::{self, LogReader},
         node::Node,
         snapshot,
     },
@@ -35,7 +35,7 @@
 };
 
 /// The number of members that a leaving node sends its record to at once.
-const TOLD: usize = 8;
+const ANNOUNCE_TO: usize = 8;
 
 /// The time for which a stopping daemon still refuses new requests, so that callers and
 /// peers learn that it is leaving before its addresses are closed.
@@ -140,7 +140,7 @@
     /// to its peers that it leaves, and ends its threads.
     pub fn stop(self) {
         self.node.journal.write(Event::Stopping, format_args!(""));
-        self.node.leave();
+        self.node.announce_leaving();
         self.stop.send_replace(true);
         for thread in self.threads {
             // The result does not matter: a thread that panicked has ended, too.
@@ -248,7 +248,7 @@
             return;
         };
         until_stopped(stopped).await;
-        leaving.doors.close_all();
+        leaving.limiters.close_all();
         tokio::time::sleep(REFUSAL_PERIOD).await;
         tokio::join!(callers.stop(drain), nodes.stop(drain));
     };
@@ -294,7 +294,7 @@
         let Ok(servers) = servers else { return };
         tokio::spawn(targets.expire());
         until_stopped(stopped).await;
-        gossip::tell_at_once(&node, &call, TOLD).await;
+        gossip::announce_now(&node, &call, ANNOUNCE_TO).await;
         tokio::time::sleep(REFUSAL_PERIOD).await;
         futures_util::future::join_all(
             servers
@@ -309,7 +309,7 @@
 fn membership(node: &Arc<Node>, call: &Call, stopped: watch::Receiver<bool>) -> Thread {
     let (node, call) = (node.clone(), call.clone());
     start_thread("membership", async move {
-        tokio::spawn(follow::until_complete(node.clone(), call.clone()));
+        tokio::spawn(log_reader::fetch_until_complete(node.clone(), call.clone()));
         tokio::select! {
             () = Gossip::new(node, call).run() => {}
             () = until_stopped(stopped) => {}
@@ -319,10 +319,10 @@
 
 /// Starts the thread that reads the log on behalf of the failure domain.
 fn following(node: &Arc<Node>, call: &Call, log: &Log, stopped: watch::Receiver<bool>) -> Thread {
-    let follow = Follow::new(node.clone(), call.clone(), log.clone());
+    let log_reader = LogReader::new(node.clone(), call.clone(), log.clone());
     start_thread("follow", async move {
         tokio::select! {
-            () = follow.run() => {}
+            () = log_reader.run() => {}
             () = until_stopped(stopped) => {}
         }
     })
@@ -333,7 +333,7 @@
     let (node, log) = (node.clone(), log.clone());
     start_thread("snapshots", async move {
         tokio::select! {
-            () = snapshot::keep_written(node, log) => {}
+            () = snapshot::run_writer(node, log) => {}
             () = until_stopped(stopped) => {}
         }
     })
--- a/src/transport/attempt.rs
+++ b/src/transport/attempt.rs
@@ -9,8 +9,8 @@
 
 use crate::{
     coordination::{
-        door::LEAVING,
-        health::{End, Health},
+        health::{AttemptResult, Health},
+        limiter::LEAVING,
         node::Node,
         pick::{self, Candidate, Reason},
     },
@@ -138,9 +138,9 @@
         };
         let node = choice.member.node.clone();
         async move {
-            let watch = Watch::start(self, &choice.member);
+            let watch = OutstandingGuard::start(self, &choice.member);
             let result = http::forward(&self.client, out).await;
-            let (end, result) = judge(result, node);
+            let (end, result) = classify(result, node);
             watch.finish(end);
             result
         }
@@ -185,11 +185,11 @@
         let candidates: Vec<Candidate> = {
             let mut health = self.health.lock();
             let candidate = |member: &Arc<Member>| {
-                let (cost, ejected) = health.look(&member.node, member.incarnation, slots, now);
+                let (cost, ejected) = health.assess(&member.node, member.incarnation, slots, now);
                 Candidate {
                     distance: plan.distance(&member.domain),
                     cost,
-                    ejected,
+                    is_ejected: ejected,
                 }
             };
             offers.iter().map(candidate).collect()
@@ -256,17 +256,17 @@
 
 /// Classifies the result of an attempt: the first part is for the target's health, the
 /// second for the request.
-fn judge(
+fn classify(
     result: Result<reqwest::Response, http::Failure>,
     node: id::Node,
-) -> (End, Result<reqwest::Response, Failed>) {
+) -> (AttemptResult, Result<reqwest::Response, Failed>) {
     let response = match result {
         Ok(response) => response,
         Err(failure) => {
             let refusal = failure.refusal("the target's node");
             let was_sent = failure != http::Failure::NotSent;
             return (
-                End::Failed,
+                AttemptResult::Failed,
                 Err(Failed {
                     refusal,
                     node,
@@ -279,17 +279,17 @@
     let Some(refusal) = http::refusal(&response) else {
         let is_server_error = response.status().is_server_error();
         let end = if is_server_error {
-            End::Failed
+            AttemptResult::Failed
         } else {
-            End::Answered(load)
+            AttemptResult::Answered(load)
         };
         return (end, Ok(response));
     };
     let end = match refusal.reason.as_str() {
-        LEAVING => End::Leaving,
-        MISPLACED => End::Abandoned,
-        _ if refusal.outcome == Outcome::NotRun => End::Shed(load),
-        _ => End::Failed,
+        LEAVING => AttemptResult::Leaving,
+        MISPLACED => AttemptResult::Abandoned,
+        _ if refusal.outcome == Outcome::NotRun => AttemptResult::Shed(load),
+        _ => AttemptResult::Failed,
     };
     (
         end,
@@ -302,13 +302,13 @@
 }
 
 /// Counts an attempt as outstanding until it ends or is dropped.
-struct Watch<'a> {
+struct OutstandingGuard<'a> {
     sender: &'a Sender,
     node: id::Node,
     done: bool,
 }
 
-impl<'a> Watch<'a> {
+impl<'a> OutstandingGuard<'a> {
     fn start(sender: &'a Sender, member: &Member) -> Self {
         sender
             .health
@@ -321,7 +321,7 @@
         }
     }
 
-    fn finish(mut self, end: End) {
+    fn finish(mut self, end: AttemptResult) {
         self.done = true;
         let ejected = self
             .sender
@@ -337,13 +337,13 @@
     }
 }
 
-impl Drop for Watch<'_> {
+impl Drop for OutstandingGuard<'_> {
     fn drop(&mut self) {
         if !self.done {
             self.sender
                 .health
                 .lock()
-                .finish(&self.node, End::Abandoned, Instant::now());
+                .finish(&self.node, AttemptResult::Abandoned, Instant::now());
         }
     }
 }
--- a/src/transport/inbound.rs
+++ b/src/transport/inbound.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     coordination::{
-        door::{LEAVING, Permit},
+        limiter::{LEAVING, Permit},
         node::Node,
     },
     event::Event,
@@ -167,8 +167,8 @@
     /// Returns the refusal if no slot becomes free in time or the target is leaving.
     /// The request has not run.
     pub async fn admit(&self, visit: &Visit) -> Result<Permit, Refusal> {
-        let door = self.node.doors.get(&visit.target.service, &visit.policy);
-        let permit = door.enter(visit.class, visit.deadline).await;
+        let limiter = self.node.limiters.get(&visit.target.service, &visit.policy);
+        let permit = limiter.acquire(visit.class, visit.deadline).await;
         // The target may have started to drain while the request waited.
         let permit = permit.and_then(|mut permit| {
             self.target(&visit.target.service)?;
@@ -178,11 +178,14 @@
         let service = &visit.target.service;
         match &permit {
             Ok(_) => {
-                self.node.metrics.running.set(i64::from(door.running()));
+                self.node
+                    .metrics
+                    .running
+                    .set(i64::from(limiter.running_count()));
                 let details = format_args!(
                     "service={service} class={:?} load={}",
                     visit.class,
-                    door.load()
+                    limiter.load()
                 );
                 self.node.journal.write(Event::Admitted, details);
             }
@@ -236,7 +239,7 @@
         http::set(headers, answer::OUTCOME, outcome);
         http::set(headers, answer::NODE, &self.node.settings.node);
         http::set(headers, answer::VERSION, self.node.version());
-        http::set(headers, answer::LOAD, self.node.doors.load());
+        http::set(headers, answer::LOAD, self.node.limiters.load());
     }
 
     async fn serve(
--- a/src/transport/keyed.rs
+++ b/src/transport/keyed.rs
@@ -10,7 +10,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    coordination::once::{Answer, Begin, Key, Ledger, Limits, MAX_ANSWER, Record},
+    coordination::idempotency::{
+        Answer, Key, KeyedDecision, Ledger, LedgerLimits, MAX_ANSWER, Record,
+    },
     event::Event,
     protocol::answer::{self, Outcome, Refusal},
     settings,
@@ -54,10 +56,10 @@
     /// Returns an empty set of keys with the limits of `settings`.
     pub fn new(settings: &settings::Requests) -> Self {
         Self {
-            ledger: Mutex::new(Ledger::new(Limits {
+            ledger: Mutex::new(Ledger::new(LedgerLimits {
                 keys: settings.keys,
-                life: settings.key_life,
-                answers: settings.key_answers,
+                key_lifetime: settings.key_life,
+                answer_bytes: settings.key_answers,
             })),
             life: settings.key_life,
             random: rustls::crypto::ring::default_provider().secure_random,
@@ -168,14 +170,14 @@
         .lock()
         .begin(key.secret, digest, inbound.node.uptime_ms());
     let record = match begin {
-        Begin::Ended(record) => record,
-        Begin::Refuse(refusal) => return Err(refused(inbound, refusal)),
-        Begin::Join(mut end) => {
+        KeyedDecision::Ended(record) => record,
+        KeyedDecision::Refuse(refusal) => return Err(refused(inbound, refusal)),
+        KeyedDecision::Join(mut end) => {
             let ended = tokio::time::timeout(wait(req), end.wait_for(Option::is_some)).await;
             let record = ended.ok().and_then(|ended| ended.ok()?.clone());
             record.ok_or_else(|| Refusal::unknown(504, "the request under this key still runs"))?
         }
-        Begin::Run => {
+        KeyedDecision::Run => {
             let visit = inbound.receive(sender, req.headers());
             return run(inbound, visit, res, key, onward, body).await;
         }
--- a/src/transport/operators.rs
+++ b/src/transport/operators.rs
@@ -120,7 +120,7 @@
         format!(
             "ready version={} age_ms={}\n",
             desk.node.version(),
-            desk.node.age_ms()
+            desk.node.view_age_ms()
         )
     } else {
         res.status_code(::http::StatusCode::SERVICE_UNAVAILABLE);
@@ -144,7 +144,7 @@
         let node = &desk.node;
         let (anchor, accepted) = node
             .applier
-            .look(|m| (m.anchor(), m.accepted()))
+            .inspect(|m| (m.anchor(), m.accepted()))
             .await
             .map_err(|error| error.to_string())?;
         let me = node.me();
@@ -158,8 +158,8 @@
             ready: node.is_ready(),
             anchor,
             accepted,
-            age_ms: node.age_ms(),
-            trouble: node.trouble().map(|trouble| trouble.to_string()),
+            age_ms: node.view_age_ms(),
+            trouble: node.log_fault().map(|trouble| trouble.to_string()),
             members,
         };
         json(res, &report);
@@ -184,7 +184,7 @@
             None => {
                 desk.node
                     .applier
-                    .look(|m| (m.anchor(), m.set().clone()))
+                    .inspect(|m| (m.anchor(), m.set().clone()))
                     .await
             }
             Some(at) => {
@@ -210,7 +210,7 @@
         let outcomes = desk
             .node
             .applier
-            .look(|m| m.history().rev().cloned().collect())
+            .inspect(|m| m.history().rev().cloned().collect())
             .await;
         json(
             res,
--- a/src/transport/outbound.rs
+++ b/src/transport/outbound.rs
@@ -9,8 +9,8 @@
 use crate::{
     coordination::{
         budget::{Budget, MAX_RETRIES},
+        idempotency::Key,
         node::Node,
-        once::Key,
         pick::Reason,
     },
     event::Event,
@@ -83,7 +83,7 @@
     /// again, or a retry might run a request twice that may only run once.
     async fn attempts(&self, plan: &Plan, mut body: Body) -> Result<reqwest::Response, Refusal> {
         let service = &plan.service.name;
-        self.earn(plan);
+        self.note_first_send(plan);
         let mut tried = Vec::new();
         let mut uncertain = None;
         for attempt in 0..=MAX_RETRIES {
@@ -118,7 +118,7 @@
                 || body.kept().is_none()
                 || attempt == MAX_RETRIES
                 || Instant::now() >= plan.deadline
-                || !self.spend(service);
+                || !self.try_spend(service);
             if stop {
                 // Reports "not run" only if no attempt may have run the request.
                 return Err(uncertain.unwrap_or(failed.refusal));
@@ -159,7 +159,7 @@
         let Ok(choice) = self.sender.choose(plan, tried) else {
             return first.await;
         };
-        if !self.spend(service) {
+        if !self.try_spend(service) {
             return first.await;
         }
         self.node.journal.write(
@@ -178,23 +178,23 @@
     }
 
     /// Adds the tokens of a first attempt to the service's retry budget.
-    fn earn(&self, plan: &Plan) {
-        let carried = self.node.doors.repeat_share();
+    fn note_first_send(&self, plan: &Plan) {
+        let carried = self.node.limiters.repeat_share();
         let mut budgets = self.budgets.lock();
         budgets
             .entry(plan.service.name.clone())
             .or_default()
-            .earn(plan.service.policy.retry, carried);
+            .note_first_send(plan.service.policy.retry, carried);
     }
 
     /// Takes a token from the retry budget of `service`. Returns false if none
     /// is left.
-    fn spend(&self, service: &Name) -> bool {
+    fn try_spend(&self, service: &Name) -> bool {
         self.budgets
             .lock()
             .entry(service.clone())
             .or_default()
-            .spend()
+            .try_spend()
     }
 
     /// Sends a keyed request to the node that issued the key, the only one that
@@ -221,7 +221,7 @@
                 "the key's node may not be sent to any more",
             ));
         }
-        self.earn(plan);
+        self.note_first_send(plan);
         let mut attempt = 0;
         loop {
             let choice = Choice {
@@ -244,7 +244,7 @@
             // A repeat is safe: the node runs a request at most once per key.
             attempt += 1;
             let broke_off = failed.refusal.status == 502;
-            if !broke_off || attempt > MAX_RETRIES || !self.spend(&plan.service.name) {
+            if !broke_off || attempt > MAX_RETRIES || !self.try_spend(&plan.service.name) {
                 return Err(key_refusal(failed));
             }
         }
--- a/src/transport/peers.rs
+++ b/src/transport/peers.rs
@@ -7,7 +7,7 @@
 use salvo::{Depot, FlowCtrl, Handler, Request, Response, Router, http::ResBody};
 
 use crate::{
-    coordination::{Error, catchup, follow, gossip, interface::Call, node::Node},
+    coordination::{Error, catchup, gossip, interface::Call, log_reader, node::Node},
     metrics::{Metrics, RECEIVED, SENT},
     protocol::wire::{self, Frame, Reply},
     state::member::Member,
@@ -151,7 +151,7 @@
             }
             Frame::Ping(mut news) => {
                 news.members.retain(|member| is_honest(member, sender));
-                Ok(gossip::answer(node, call, news))
+                Ok(gossip::answer_ping(node, call, news))
             }
             Frame::PingFor(peer) => {
                 Ok(Reply::Reached(gossip::ping(node, call, peer).await.is_ok()))
@@ -159,11 +159,11 @@
             Frame::Sync(marks) => Ok(self.compare(&marks)),
             Frame::Tell(mut members) => {
                 members.retain(|member| is_honest(member, sender));
-                node.absorb(members);
+                node.merge_members(members);
                 Ok(Reply::Done)
             }
-            Frame::Fetch(from) => catchup::serve(node, from).await,
-            Frame::Scatter(scatter) => follow::take(node, call, scatter).await,
+            Frame::Fetch(from) => catchup::answer_fetch(node, from).await,
+            Frame::Scatter(scatter) => log_reader::receive_scatter(node, call, scatter).await,
         }
     }
 
--- a/src/transport/targets.rs
+++ b/src/transport/targets.rs
@@ -19,7 +19,7 @@
 
 /// The number of members that get this node's record at once when its targets change,
 /// such as when one drains.
-const TOLD: usize = 8;
+const ANNOUNCE_TO: usize = 8;
 
 /// The targets on this host with the time at which the lease of each expires.
 pub struct Targets {
@@ -112,10 +112,10 @@
             .iter_mut()
             .for_each(|target| target.draining |= stopping);
         for target in targets.iter().filter(|target| target.draining) {
-            self.node.doors.close(&target.service);
+            self.node.limiters.close(&target.service);
         }
         if self.node.set_targets(targets) {
-            gossip::tell_at_once(&self.node, &self.call, TOLD).await;
+            gossip::announce_now(&self.node, &self.call, ANNOUNCE_TO).await;
         }
     }
 }
--- a/tests/coordination.rs
+++ b/tests/coordination.rs
@@ -14,16 +14,15 @@
 use rilltrack::{
     coordination::{
         Error,
-        admit::{Admission, Limiter},
+        admission::{Admission, Limiter},
         apply,
         budget::Budget,
-        catchup,
-        follow::Follow,
-        gossip,
-        health::{End, Health},
+        catchup, gossip,
+        health::{AttemptResult, Health},
+        idempotency::{Answer, KeyedDecision, Ledger, LedgerLimits, Record},
         interface::{Call, Log},
+        log_reader::LogReader,
         node::Node,
-        once::{Answer, Begin, Ledger, Limits, Record},
         pick::{Candidate, Reason, pick},
         rank,
         scatter::scatter,
@@ -147,28 +146,36 @@
     let records = records(6);
     let node = node(1, "d");
     let applier = &node.applier;
-    applier.complete().await.unwrap();
+    applier.mark_complete().await.unwrap();
     let old = machine(&records[..2]).snapshot();
     assert_eq!(
-        applier.records(at(0), records[..4].to_vec()).await.unwrap(),
+        applier
+            .apply_records(at(0), records[..4].to_vec())
+            .await
+            .unwrap(),
         at(4)
     );
     // An older snapshot after newer records changes nothing.
-    assert_eq!(applier.snapshot(old).await.unwrap(), at(4));
+    assert_eq!(applier.load_snapshot(old).await.unwrap(), at(4));
     assert_eq!(node.version(), at(4));
     // Records that start beyond the current version fail. Records that were applied
     // already, or overlap such, do not.
-    assert!(applier.records(at(5), records[5..].to_vec()).await.is_err());
+    assert!(
+        applier
+            .apply_records(at(5), records[5..].to_vec())
+            .await
+            .is_err()
+    );
     assert_eq!(
         applier
-            .records(at(2), records[2..4].to_vec())
+            .apply_records(at(2), records[2..4].to_vec())
             .await
             .unwrap(),
         at(4)
     );
     assert_eq!(
         applier
-            .records(at(3), records[3..5].to_vec())
+            .apply_records(at(3), records[3..5].to_vec())
             .await
             .unwrap(),
         at(5)
@@ -177,7 +184,7 @@
     let mut damaged = machine(&records).snapshot().to_vec();
     let middle = damaged.len() / 2;
     damaged[middle] ^= 1;
-    assert!(applier.snapshot(damaged.into()).await.is_err());
+    assert!(applier.load_snapshot(damaged.into()).await.is_err());
     assert_eq!(
         (node.version(), node.view.load().as_ref().unwrap().set.len()),
         (at(5), 5)
@@ -187,18 +194,23 @@
 #[tokio::test]
 async fn view_is_not_in_force_before_it_is_complete() {
     let node = node(1, "d");
-    node.applier.records(at(0), records(2)).await.unwrap();
+    node.applier.apply_records(at(0), records(2)).await.unwrap();
     assert!(!node.is_ready());
     assert!(matches!(
-        catchup::serve(&node, Version::default()).await.unwrap(),
+        catchup::answer_fetch(&node, Version::default())
+            .await
+            .unwrap(),
         Reply::Later(_)
     ));
-    node.applier.complete().await.unwrap();
-    node.applier.reached(at(2)).await.unwrap();
+    node.applier.mark_complete().await.unwrap();
+    node.applier.wait_for(at(2)).await.unwrap();
     assert!(
-        matches!(catchup::serve(&node, at(1)).await.unwrap(), Reply::Records(r) if r.len() == 1)
+        matches!(catchup::answer_fetch(&node, at(1)).await.unwrap(), Reply::Records(r) if r.len() == 1)
+    );
+    assert_eq!(
+        catchup::answer_fetch(&node, at(2)).await.unwrap(),
+        Reply::Current
     );
-    assert_eq!(catchup::serve(&node, at(2)).await.unwrap(), Reply::Current);
 }
 
 /// Returns a log that has dropped the part of `records` before `first`, and its stream of
@@ -249,10 +261,10 @@
 async fn reaches(node: &Arc<Node>, log: Log, wanted: Version) -> bool {
     node.joined
         .store(true, std::sync::atomic::Ordering::Relaxed);
-    let follow = Follow::new(node.clone(), unreachable_peers(), log).run();
+    let follow = LogReader::new(node.clone(), unreachable_peers(), log).run();
     tokio::select! {
         () = follow => false,
-        result = node.applier.reached(wanted) => result.is_ok(),
+        result = node.applier.wait_for(wanted) => result.is_ok(),
         () = tokio::time::sleep(Duration::from_secs(2)) => false,
     }
 }
@@ -308,7 +320,7 @@
         read: Arc::new(read),
         append: unused.append,
     };
-    let run = Follow::new(node.clone(), unreachable_peers(), log).run();
+    let run = LogReader::new(node.clone(), unreachable_peers(), log).run();
     assert!(
         tokio::time::timeout(Duration::from_secs(1), run)
             .await
@@ -327,8 +339,8 @@
 async fn records_of_several_reads_are_sent_together() {
     // The log returns three records per read. The other member has none yet.
     let node = node(1, "d");
-    node.absorb(vec![member(2, "d", Status::Alive, 1)]);
-    node.applier.complete().await.unwrap();
+    node.merge_members(vec![member(2, "d", Status::Alive, 1)]);
+    node.applier.mark_complete().await.unwrap();
     let loads = Arc::new(Mutex::new(Vec::new()));
     let sent_loads = loads.clone();
     let call: Call = Arc::new(move |_, frame, _| {
@@ -340,7 +352,7 @@
     let (log, _) = fake_log(0, records(8), Vec::new());
     node.joined
         .store(true, std::sync::atomic::Ordering::Relaxed);
-    let follow = Follow::new(node.clone(), call, log).run();
+    let follow = LogReader::new(node.clone(), call, log).run();
     let first = async {
         loop {
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -366,8 +378,11 @@
 #[tokio::test]
 async fn snapshot_written_in_parts_is_read_back_whole() {
     let node = node(1, "d");
-    node.applier.records(at(0), records(500)).await.unwrap();
-    node.applier.complete().await.unwrap();
+    node.applier
+        .apply_records(at(0), records(500))
+        .await
+        .unwrap();
+    node.applier.mark_complete().await.unwrap();
     let mut settings = node.settings.clone();
     settings.log.max_record = "4KiB".parse().unwrap();
     let (log, written) = fake_log(0, Vec::new(), Vec::new());
@@ -408,11 +423,11 @@
     })
 }
 
-fn limits(keys: usize, bytes: u64) -> Limits {
-    Limits {
+fn limits(keys: usize, bytes: u64) -> LedgerLimits {
+    LedgerLimits {
         keys,
-        life: Span::from_millis(40),
-        answers: Size::from_bytes(bytes),
+        key_lifetime: Span::from_millis(40),
+        answer_bytes: Size::from_bytes(bytes),
     }
 }
 
@@ -477,26 +492,26 @@
         let distances = [Distance::Domain, Distance::Region, Distance::Beyond];
         let candidates: Vec<Candidate> = candidates
             .into_iter()
-            .map(|(d, cost, ejected)| Candidate { distance: distances[d], cost, ejected })
+            .map(|(d, cost, ejected)| Candidate { distance: distances[d], cost, is_ejected: ejected })
             .collect();
         let picked = pick(&candidates, &mut fastrand::Rng::with_seed(seed));
         prop_assert_eq!(picked.is_none(), candidates.is_empty());
         let Some((index, reason)) = picked else { return Ok(()) };
         let chosen = candidates[index];
-        let eligible: Vec<&Candidate> = candidates.iter().filter(|c| !c.ejected).collect();
-        prop_assert_eq!(chosen.ejected, eligible.is_empty());
+        let eligible: Vec<&Candidate> = candidates.iter().filter(|c| !c.is_ejected).collect();
+        prop_assert_eq!(chosen.is_ejected, eligible.is_empty());
         prop_assert_eq!(reason == Reason::LastResort, eligible.is_empty());
         let costs_at = |d: Distance| -> Vec<u32> { eligible.iter().filter(|c| c.distance == d).map(|c| c.cost).collect() };
         // A distance is skipped only if it has no eligible target, or one at or above the
         // spillover cost.
-        for nearer in distances.into_iter().filter(|d| *d < chosen.distance && !chosen.ejected) {
+        for nearer in distances.into_iter().filter(|d| *d < chosen.distance && !chosen.is_ejected) {
             prop_assert!(costs_at(nearer).is_empty() || costs_at(nearer).iter().any(|cost| *cost >= 90));
         }
         // The single most expensive target of a distance is never chosen over others there.
         let costs = costs_at(chosen.distance);
         let highest = costs.iter().max().copied().unwrap_or(0);
         let is_single = costs.iter().filter(|cost| **cost == highest).count() == 1;
-        if !chosen.ejected && costs.len() > 1 && is_single {
+        if !chosen.is_ejected && costs.len() > 1 && is_single {
             prop_assert!(chosen.cost < highest);
         }
     }
@@ -562,7 +577,7 @@
                 0 if !issued.contains(&secret) && ledger.issue(secret, now) => {
                     issued.insert(secret);
                 }
-                1 | 2 => if matches!(ledger.begin(secret, request, now), Begin::Run) {
+                1 | 2 => if matches!(ledger.begin(secret, request, now), KeyedDecision::Run) {
                     prop_assert!(issued.contains(&secret) && running.insert(secret));
                     *runs.entry(secret).or_default() += 1;
                 },
@@ -585,8 +600,8 @@
         let mut budget = Budget::default();
         let mut retries = 0;
         for fails in &calls {
-            budget.earn(Percent::new(share), 0.0);
-            retries += u32::from(*fails && budget.spend());
+            budget.note_first_send(Percent::new(share), 0.0);
+            retries += u32::from(*fails && budget.try_spend());
         }
         prop_assert!(f64::from(retries) <= 5.0 + calls.len() as f64 * f64::from(share) / 100.0 + 1e-6);
     }
@@ -601,12 +616,12 @@
         let (mut first_budget, mut second_budget) = (Budget::default(), Budget::default());
         let (mut calls, mut extra) = (0, 0);
         for (fails, call_fails) in steps {
-            first_budget.earn(Percent::new(share), 0.0);
-            let retries = u32::from(fails && first_budget.spend());
+            first_budget.note_first_send(Percent::new(share), 0.0);
+            let retries = u32::from(fails && first_budget.try_spend());
             for run in 0..=retries {
-                second_budget.earn(Percent::new(share), f64::from(run));
+                second_budget.note_first_send(Percent::new(share), f64::from(run));
                 calls += 1;
-                extra += run + u32::from(call_fails && second_budget.spend());
+                extra += run + u32::from(call_fails && second_budget.try_spend());
             }
         }
         let share = f64::from(share) / 100.0;
@@ -683,7 +698,7 @@
         }
         let domain = "d".parse().unwrap();
         let readers = |table: &Table| -> Vec<u32> {
-            let rank_of = |i: &u32| rank::reader(table, &domain, &format!("n{i}").parse().unwrap());
+            let rank_of = |i: &u32| rank::reader_rank(table, &domain, &format!("n{i}").parse().unwrap());
             let alive = (0..25).filter(|i| table.get(&format!("n{i}").parse().unwrap()).unwrap().status == Status::Alive);
             alive.filter(|i| rank_of(i) < rank::READERS).collect()
         };
@@ -707,13 +722,13 @@
             let domain = "d".parse().unwrap();
             let name = |i: u32| format!("n{i}").parse().unwrap();
             let pings: Vec<HashSet<SocketAddr>> = (0..count)
-                .map(|i| rank::partners(&table, &domain, &name(i)).iter().map(|m| m.peers).collect())
+                .map(|i| rank::probe_peers(&table, &domain, &name(i)).iter().map(|m| m.peers).collect())
                 .collect();
             for i in 0..count {
                 let pinging = pings.iter().filter(|partners| partners.contains(&address(i))).count();
                 assert!(pinging >= 2.min(count as usize - 1), "{pinging} of {count} nodes ping n{i}");
                 assert!(pings[i as usize].len() <= 6 && !pings[i as usize].contains(&address(i)));
-                let far = rank::far_partners(&table, &domain, &name(i));
+                let far = rank::remote_probe_peers(&table, &domain, &name(i));
                 assert!((1..=3).contains(&far.len()) && far.iter().all(|m| m.domain.as_str() == "e"));
             }
             // A ping and its answer carry news in both directions.
@@ -738,22 +753,22 @@
     own_observations_override_reported_load => {
         let (now, target) = (Instant::now(), "n1".parse().unwrap());
         let mut health = Health::default();
-        let assess = |health: &mut Health, at: Instant| health.look(&target, Incarnation(1), 10, at);
+        let assess = |health: &mut Health, at: Instant| health.assess(&target, Incarnation(1), 10, at);
         // A new target has an extra cost; after the slow start it has none.
         assert!(assess(&mut health, now).0 > 0);
         let later = now + Duration::from_secs(20);
         assert_eq!(assess(&mut health, later), (0, false));
         // The target sheds a request, but reports no load.
         health.start(&target, Incarnation(1), later);
-        health.finish(&target, End::Shed(Some(0)), later);
+        health.finish(&target, AttemptResult::Shed(Some(0)), later);
         assert_eq!(assess(&mut health, later).0, 100);
         for _ in 0..5 {
             health.start(&target, Incarnation(1), later);
-            health.finish(&target, End::Failed, later);
+            health.finish(&target, AttemptResult::Failed, later);
         }
         assert!(assess(&mut health, later).1);
         // An ejection does not carry over to a new incarnation.
-        assert!(!health.look(&target, Incarnation(2), 10, later).1);
+        assert!(!health.assess(&target, Incarnation(2), 10, later).1);
     }
 
     recorded_answers_are_bounded_and_their_requests_never_run_again => {
@@ -764,16 +779,16 @@
         };
         for secret in 0..3 {
             assert!(ledger.issue(secret, 0));
-            assert!(matches!(ledger.begin(secret, 1, 0), Begin::Run));
+            assert!(matches!(ledger.begin(secret, 1, 0), KeyedDecision::Run));
             ledger.end(secret, answer(100));
         }
-        assert!(matches!(ledger.begin(1, 1, 0), Begin::Ended(Record::Answered(_))));
-        assert!(matches!(ledger.begin(2, 1, 0), Begin::Ended(Record::TooLarge)));
+        assert!(matches!(ledger.begin(1, 1, 0), KeyedDecision::Ended(Record::Answered(_))));
+        assert!(matches!(ledger.begin(2, 1, 0), KeyedDecision::Ended(Record::TooLarge)));
         // Expired answers no longer count.
         assert!(ledger.issue(3, 100));
-        assert!(matches!(ledger.begin(3, 1, 100), Begin::Run));
+        assert!(matches!(ledger.begin(3, 1, 100), KeyedDecision::Run));
         ledger.end(3, answer(250));
-        assert!(matches!(ledger.begin(3, 1, 100), Begin::Ended(Record::Answered(_))));
+        assert!(matches!(ledger.begin(3, 1, 100), KeyedDecision::Ended(Record::Answered(_))));
     }
 
     records_of_an_older_incarnation_are_ignored => {
@@ -801,11 +816,11 @@
 async fn member_declared_gone_refutes_it_in_its_next_ping() {
     let node = node(1, "d");
     let before = node.me();
-    node.absorb(vec![member(1, "d", Status::Gone, before.sequence)]);
+    node.merge_members(vec![member(1, "d", Status::Gone, before.sequence)]);
     let me = node.me();
     assert!(me.status == Status::Alive && me.sequence > before.sequence);
     // The refutation is part of the next ping.
-    let news = gossip::news(&node);
+    let news = gossip::outgoing_updates(&node);
     assert!(
         news.members
             .iter()
@@ -824,7 +839,7 @@
     let (node, mut others) = (node(1, "d"), Table::default());
     others.merge(earlier.clone());
     assert!(!others.merge(node.me()));
-    node.absorb(vec![earlier]);
+    node.merge_members(vec![earlier]);
     assert!(others.merge(node.me()));
     assert_eq!(others.get(&node.me().node).unwrap().status, Status::Alive);
 }
@@ -833,7 +848,14 @@
 async fn news_is_relayed_but_a_whole_table_is_not() {
     let relayed = |node: &Arc<Node>| {
         let mut nodes = HashSet::new();
-        (0..100).for_each(|_| nodes.extend(gossip::news(node).members.into_iter().map(|m| m.node)));
+        (0..100).for_each(|_| {
+            nodes.extend(
+                gossip::outgoing_updates(node)
+                    .members
+                    .into_iter()
+                    .map(|m| m.node),
+            )
+        });
         nodes.len()
     };
     let table = |range: std::ops::Range<u32>, sequence| -> Vec<Member> {
@@ -842,10 +864,10 @@
             .collect()
     };
     let node = node(1, "d");
-    assert_eq!(node.absorb(table(100..200, 1)), 100);
+    assert_eq!(node.merge_members(table(100..200, 1)), 100);
     assert_eq!(relayed(&node), 1, "members of the whole table are relayed");
     // After a partition: many updates at once, but of less than half of the known members.
-    assert_eq!(node.absorb(table(100..140, 2)), 40);
+    assert_eq!(node.merge_members(table(100..140, 2)), 40);
     assert_eq!(relayed(&node), 40);
 }
 
@@ -891,14 +913,14 @@
 #[tokio::test]
 async fn suspected_sender_learns_of_it_from_the_pong() {
     let node = node(1, "d");
-    node.absorb(vec![member(2, "d", Status::Suspect, 1)]);
+    node.merge_members(vec![member(2, "d", Status::Suspect, 1)]);
     let from = PingBody {
         node: "n2".parse().unwrap(),
         peers: address(2),
         version: Version::default(),
         members: Vec::new(),
     };
-    let Reply::Pong(news) = gossip::answer(&node, &unreachable_peers(), from) else {
+    let Reply::Pong(news) = gossip::answer_ping(&node, &unreachable_peers(), from) else {
         panic!("the reply is not a pong")
     };
     assert!(
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -459,7 +459,7 @@
             .collect();
         let predecessors = |of: &Member, excluded: &[&str]| {
             let ranked = list.iter().filter(|m| !excluded.contains(&m.node.as_str()));
-            rank::before(ranked, "reader", &of.node, of.bandwidth)
+            rank::predecessors(ranked, "reader", &of.node, of.bandwidth)
         };
         let first: Vec<_> = list.iter().filter(|m| predecessors(m, &[]).is_empty()).collect();
         let [first] = first[..] else { panic!("more or less than one node is first") };
--- a/tests/state.rs
+++ b/tests/state.rs
@@ -13,7 +13,7 @@
     test_runner::RngSeed,
 };
 use rilltrack::{
-    coordination::once,
+    coordination::idempotency,
     document::Document,
     files::Files,
     id::Name,
@@ -277,7 +277,7 @@
         let _ = wire::decode::<Frame>(&noise);
         let _ = wire::decode::<Reply>(&noise);
         let _ = wire::decode::<Part>(&noise);
-        prop_assert!(text.parse::<once::Key>().is_err() || text.matches('.').count() >= 2);
+        prop_assert!(text.parse::<idempotency::Key>().is_err() || text.matches('.').count() >= 2);
         let _ = text.parse::<Key>();
         let _ = text.parse::<Version>();
         let _ = text.parse::<Span>();
