--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -31,7 +31,7 @@
             control,
             egress::Egress,
             ingress::Ingress,
-            serve::{self, Handler, Phase, Server, Whose},
+            serve::{self, ClientKind, Handler, Phase, Server},
         },
     },
 };
@@ -92,31 +92,31 @@
         let (recorded, recorded_receiver) = watch::channel(Recorded::default());
         let ingress = Ingress::new(host.clone());
         let egress = Egress::new(host.clone(), ingress.clone());
-        let call_peer = control::ask();
+        let call_peer = control::call_peer();
         let listen = &host.settings.listen;
         let request_servers = [
-            (listen.callers, Whose::Callers, egress.handler()),
-            (listen.inbound, Whose::Others, ingress.handler()),
+            (listen.callers, ClientKind::Callers, egress.handler()),
+            (listen.inbound, ClientKind::Internal, ingress.handler()),
         ];
         let control_servers = [
             (
                 listen.peers,
-                Whose::Others,
+                ClientKind::Internal,
                 control::peers(host.clone(), call_peer.clone()),
             ),
             (
                 listen.targets,
-                Whose::Others,
+                ClientKind::Internal,
                 control::targets(host.clone(), recorded_receiver),
             ),
             (
                 listen.ready,
-                Whose::Others,
+                ClientKind::Internal,
                 control::ready(host.clone(), phase_receiver.clone()),
             ),
             (
                 listen.metrics,
-                Whose::Others,
+                ClientKind::Internal,
                 control::metrics(host.clone()),
             ),
         ];
@@ -197,33 +197,33 @@
 fn server_factory(
     host: &Arc<host::Host>,
     phase: &watch::Receiver<Phase>,
-) -> impl Fn(Whose, Handler) -> Server + use<> {
+) -> impl Fn(ClientKind, Handler) -> Server + use<> {
     let max_connections = host
         .settings
         .descriptors
         .saturating_sub(RESERVED_DESCRIPTORS)
         / 2;
     let (host, phase) = (host.clone(), phase.clone());
-    move |whose, handler| {
+    move |client, handler| {
         let host = host.clone();
         Server {
-            whose,
+            client,
             handler,
             limits: Arc::new(move || host.limits()),
             phase: phase.clone(),
-            most: max_connections,
-            open: Arc::new(AtomicUsize::new(0)),
+            max_connections,
+            open_connections: Arc::new(AtomicUsize::new(0)),
         }
     }
 }
 
 fn bind<const N: usize>(
-    addresses: [(std::net::SocketAddr, Whose, Handler); N],
-    server: &impl Fn(Whose, Handler) -> Server,
+    addresses: [(std::net::SocketAddr, ClientKind, Handler); N],
+    server: &impl Fn(ClientKind, Handler) -> Server,
 ) -> Result<Listeners, transport::Error> {
     let bound = addresses
         .into_iter()
-        .map(|(address, whose, handler)| Ok((serve::bind(address)?, server(whose, handler))));
+        .map(|(address, client, handler)| Ok((serve::bind(address)?, server(client, handler))));
     bound.collect()
 }
 
@@ -244,9 +244,9 @@
     tokio::spawn(async move {
         loop {
             tokio::time::sleep(PRUNE_INTERVAL).await;
-            egress.tidy();
-            egress.note_sent_again();
-            ingress.tidy();
+            egress.prune();
+            egress.log_retries();
+            ingress.prune();
         }
     });
     serve_all(listeners).await;
--- a/src/transport/relay/body.rs
+++ b/src/transport/relay/body.rs
@@ -61,11 +61,11 @@
 }
 
 /// The result of reading a body.
-pub enum Read {
+pub enum ReadResult {
     /// The whole body.
     Whole(Bytes),
     /// The start of a body that is not buffered whole, and the rest.
-    Start(Bytes, Body),
+    Partial(Bytes, Body),
 }
 
 /// Why a body could not be read.
@@ -73,10 +73,10 @@
 pub enum ReadError {
     /// Nothing was received for too long.
     #[error("body stood still")]
-    Still,
+    Stalled,
     /// The body ended early.
     #[error("body broke off")]
-    Broken(#[source] Fault),
+    Interrupted(#[source] Fault),
 }
 
 impl Body {
@@ -103,7 +103,7 @@
 
     /// Returns a body whose pieces come from a channel; an empty piece ends it.
     /// `length` is its length, if known.
-    pub fn fed(pieces: mpsc::Receiver<Bytes>, length: Option<u64>) -> Self {
+    pub fn from_channel(pieces: mpsc::Receiver<Bytes>, length: Option<u64>) -> Self {
         let channel = Channel {
             pieces,
             left: length,
@@ -131,7 +131,7 @@
     }
 
     /// Returns the bytes of a body that is wholly buffered.
-    pub fn known(&self) -> Option<&[u8]> {
+    pub fn buffered(&self) -> Option<&[u8]> {
         let bytes = self.first.as_deref().unwrap_or_default();
         self.is_whole().then_some(bytes)
     }
@@ -143,7 +143,7 @@
 
     /// Returns the body, which sends nothing before `permission`. If the sender of
     /// `permission` is dropped, the body fails and the connection closes.
-    pub fn after(self, permission: oneshot::Receiver<()>) -> Self {
+    pub fn gated_by(self, permission: oneshot::Receiver<()>) -> Self {
         Self {
             permission: Some(permission),
             ..self
@@ -294,24 +294,24 @@
 /// # Errors
 ///
 /// If nothing is received for `idle`, or the body ends early.
-pub async fn read(mut body: Body, max: usize, idle: Duration) -> Result<Read, ReadError> {
+pub async fn read(mut body: Body, max: usize, idle: Duration) -> Result<ReadResult, ReadError> {
     if body.is_end_stream() {
-        return Ok(Read::Whole(Bytes::new()));
+        return Ok(ReadResult::Whole(Bytes::new()));
     }
     let mut pieces = Pieces::default();
     loop {
         let frame = tokio::time::timeout(idle, body.frame()).await;
-        match frame.map_err(|_| ReadError::Still)? {
-            None => return Ok(Read::Whole(pieces.join())),
+        match frame.map_err(|_| ReadError::Stalled)? {
+            None => return Ok(ReadResult::Whole(pieces.join())),
             Some(frame) => {
-                let frame = frame.map_err(ReadError::Broken)?;
+                let frame = frame.map_err(ReadError::Interrupted)?;
                 if let Ok(data) = frame.into_data() {
                     pieces.add(data);
                 }
             }
         }
         if pieces.len > max {
-            return Ok(Read::Start(pieces.join(), body));
+            return Ok(ReadResult::Partial(pieces.join(), body));
         }
     }
 }
--- a/src/transport/relay/codec.rs
+++ b/src/transport/relay/codec.rs
@@ -26,9 +26,9 @@
     /// How its body is delimited.
     pub framing: Framing,
     /// Whether the caller allows further requests on the connection.
-    pub keeps: bool,
+    pub is_persistent: bool,
     /// Whether the caller waits for `100 Continue` before it sends the body.
-    pub expects: bool,
+    pub expects_continue: bool,
 }
 
 /// How the body of a request is delimited.
@@ -47,11 +47,11 @@
 
 /// The next piece of a body in the received bytes.
 #[derive(Debug, Eq, PartialEq)]
-pub enum Piece {
+pub enum Decoded {
     /// Bytes of the body.
     Data(Bytes),
     /// More bytes must be received first.
-    Nothing,
+    Incomplete,
     /// The end of the body.
     End,
 }
@@ -119,8 +119,8 @@
         );
     }
     let framing = framing(&headers, version)?;
-    let keeps = is_keep_alive(&headers, version);
-    let expects = headers
+    let is_persistent = is_keep_alive(&headers, version);
+    let expects_continue = headers
         .get(header::EXPECT)
         .is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"100-continue"));
     let mut request = Request::new(());
@@ -131,8 +131,8 @@
     Ok(Head {
         request,
         framing,
-        keeps,
-        expects,
+        is_persistent,
+        expects_continue,
     })
 }
 
@@ -190,24 +190,24 @@
     /// # Errors
     ///
     /// If the chunked encoding is not valid.
-    pub fn next(&mut self, bytes: &mut BytesMut) -> Result<Piece, Error> {
+    pub fn next(&mut self, bytes: &mut BytesMut) -> Result<Decoded, Error> {
         loop {
             match self {
-                Self::Done => return Ok(Piece::End),
+                Self::Done => return Ok(Decoded::End),
                 Self::Length(left) | Self::Chunk(left) => {
                     if bytes.is_empty() {
-                        return Ok(Piece::Nothing);
+                        return Ok(Decoded::Incomplete);
                     }
                     let count = (*left).min(bytes.len() as u64);
                     *left -= count;
                     if *left == 0 {
                         *self = self.next_state();
                     }
-                    return Ok(Piece::Data(bytes.split_to(count as usize).freeze()));
+                    return Ok(Decoded::Data(bytes.split_to(count as usize).freeze()));
                 }
                 Self::ChunkLine => {
                     let Some(size) = chunk_size(bytes)? else {
-                        return Ok(Piece::Nothing);
+                        return Ok(Decoded::Incomplete);
                     };
                     *self = match size {
                         0 => Self::Trailers,
@@ -216,7 +216,7 @@
                 }
                 Self::ChunkEnd => {
                     if bytes.len() < 2 {
-                        return Ok(Piece::Nothing);
+                        return Ok(Decoded::Incomplete);
                     }
                     if !bytes.starts_with(b"\r\n") {
                         return Err(Error("no line break after the data of a chunk"));
@@ -226,7 +226,7 @@
                 }
                 Self::Trailers => {
                     let Some(end) = bytes.windows(2).position(|pair| pair == b"\r\n") else {
-                        return check_line_length(bytes).map(|()| Piece::Nothing);
+                        return check_line_length(bytes).map(|()| Decoded::Incomplete);
                     };
                     bytes.advance(end + 2);
                     if end == 0 {
@@ -265,9 +265,9 @@
 
 /// How the body of a response is delimited.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Ending {
+pub enum ResponseFraming {
     /// By its length, or there is no body.
-    Told,
+    Length,
     /// By the chunked transfer encoding.
     Chunks,
     /// By the end of the connection.
@@ -280,9 +280,9 @@
     response: &Response<Body>,
     method: &Method,
     version: Version,
-    keeps: bool,
+    is_persistent: bool,
     out: &mut BytesMut,
-) -> Ending {
+) -> ResponseFraming {
     use http_body::Body as _;
     let status = response.status();
     let reason = status.canonical_reason().unwrap_or("");
@@ -297,18 +297,18 @@
         write_header(out, name.as_str(), value.as_bytes());
     }
     let ending = match response.body().size_hint().exact() {
-        _ if !has_body => Ending::Told,
+        _ if !has_body => ResponseFraming::Length,
         Some(length) => {
             write_header(out, "content-length", length.to_string().as_bytes());
-            Ending::Told
+            ResponseFraming::Length
         }
         None if version == Version::HTTP_11 => {
             write_header(out, "transfer-encoding", b"chunked");
-            Ending::Chunks
+            ResponseFraming::Chunks
         }
-        None => Ending::Close,
+        None => ResponseFraming::Close,
     };
-    if !keeps || ending == Ending::Close {
+    if !is_persistent || ending == ResponseFraming::Close {
         write_header(out, "connection", b"close");
     } else if version == Version::HTTP_10 {
         write_header(out, "connection", b"keep-alive");
--- a/src/transport/relay/control.rs
+++ b/src/transport/relay/control.rs
@@ -30,8 +30,8 @@
     protocol::announce::TargetCall,
     state::fingerprint::Fingerprint,
     transport::relay::{
-        body::{self, Body, Read},
-        plain,
+        body::{self, Body, ReadResult},
+        empty_response,
         pool::{Pool, Settings},
         serve::{Handler, Phase},
     },
@@ -39,10 +39,10 @@
 
 /// Settings of the connections to the control addresses of peers.
 const POOL_SETTINGS: Settings = Settings {
-    connect: Duration::from_millis(250),
-    keep: Duration::from_secs(12),
-    kept: 2,
-    total: 16,
+    connect_timeout: Duration::from_millis(250),
+    idle_timeout: Duration::from_secs(12),
+    max_idle_per_address: 2,
+    max_idle: 16,
 };
 
 /// How long a peer may take to respond, which it does from memory.
@@ -84,15 +84,19 @@
 const LET_GO: &str = "/let-go";
 
 /// Returns a function that sends requests to peers.
-pub fn ask() -> CallPeer {
+pub fn call_peer() -> CallPeer {
     let pool = Arc::new(Pool::new(POOL_SETTINGS));
     Arc::new(move |address, request| {
         let pool = pool.clone();
-        async move { call_peer(&pool, address, request).await }.boxed()
+        async move { send_request(&pool, address, request).await }.boxed()
     })
 }
 
-async fn call_peer(pool: &Pool, address: SocketAddr, request: PeerRequest) -> Result<Bytes, Error> {
+async fn send_request(
+    pool: &Pool,
+    address: SocketAddr,
+    request: PeerRequest,
+) -> Result<Bytes, Error> {
     let (path, body) = match request {
         PeerRequest::Routes(base) => (ROUTES, encode(&base)),
         PeerRequest::Members(marks) => (MEMBERS, encode(&marks)),
@@ -106,7 +110,7 @@
     let deadline = Instant::now() + PEER_TIMEOUT;
     let sent = pool.send(address, request, deadline).await;
     let exchange = sent.map_err(|failure| {
-        if failure.is_silence() {
+        if failure.is_timeout() {
             Error::NoAnswer(peer())
         } else {
             Error::Unreachable(peer())
@@ -122,11 +126,11 @@
     )
     .await;
     match read {
-        Ok(Read::Whole(bytes)) => {
+        Ok(ReadResult::Whole(bytes)) => {
             pool.put_back(exchange.connection);
             Ok(bytes)
         }
-        Ok(Read::Start(..)) | Err(_) => Err(Error::Unexpected(peer())),
+        Ok(ReadResult::Partial(..)) | Err(_) => Err(Error::Unexpected(peer())),
     }
 }
 
@@ -149,7 +153,7 @@
                 ROLLOUTS => json(&controller::progress(&host)),
                 HELD => json(&host.quarantine.quarantined(Instant::now())),
                 LET_GO => let_go(&host, request.into_body()).await,
-                _ => plain(StatusCode::NOT_FOUND),
+                _ => empty_response(StatusCode::NOT_FOUND),
             }
         }
         .boxed()
@@ -158,22 +162,22 @@
 
 async fn routes(host: &Host, body: Body) -> Response<Body> {
     let read = body::read(body, MAX_CALL, PEER_TIMEOUT).await;
-    let Ok(Read::Whole(bytes)) = read else {
-        return plain(StatusCode::BAD_REQUEST);
+    let Ok(ReadResult::Whole(bytes)) = read else {
+        return empty_response(StatusCode::BAD_REQUEST);
     };
     let Ok(base) = rmp_serde::from_slice(&bytes) else {
-        return plain(StatusCode::BAD_REQUEST);
+        return empty_response(StatusCode::BAD_REQUEST);
     };
     match source::routes(host, base) {
         Some(delta) => Response::new(Body::whole(delta)),
-        None => plain(StatusCode::NOT_FOUND),
+        None => empty_response(StatusCode::NOT_FOUND),
     }
 }
 
 async fn members(host: &Host, body: Body) -> Response<Body> {
     let read = body::read(body, MAX_CALL, PEER_TIMEOUT).await;
-    let Ok(Read::Whole(bytes)) = read else {
-        return plain(StatusCode::BAD_REQUEST);
+    let Ok(ReadResult::Whole(bytes)) = read else {
+        return empty_response(StatusCode::BAD_REQUEST);
     };
     // Marks that can't be decoded count as none, so that all members are sent.
     let marks: Vec<u32> = rmp_serde::from_slice(&bytes).unwrap_or_default();
@@ -182,26 +186,26 @@
 
 async fn news(host: &Arc<Host>, ask: &CallPeer, body: Body) -> Response<Body> {
     let read = body::read(body, MAX_PEER_MESSAGE, PEER_TIMEOUT).await;
-    let Ok(Read::Whole(bytes)) = read else {
-        return plain(StatusCode::BAD_REQUEST);
+    let Ok(ReadResult::Whole(bytes)) = read else {
+        return empty_response(StatusCode::BAD_REQUEST);
     };
     match source::decode(host, &bytes, "news", "reader") {
         Some(news) => {
             source::apply_update(host, ask, news);
-            plain(StatusCode::OK)
+            empty_response(StatusCode::OK)
         }
-        None => plain(StatusCode::BAD_REQUEST),
+        None => empty_response(StatusCode::BAD_REQUEST),
     }
 }
 
 async fn let_go(host: &Host, body: Body) -> Response<Body> {
     let read = body::read(body, MAX_CALL, PEER_TIMEOUT).await;
-    let Ok(Read::Whole(bytes)) = read else {
-        return plain(StatusCode::BAD_REQUEST);
+    let Ok(ReadResult::Whole(bytes)) = read else {
+        return empty_response(StatusCode::BAD_REQUEST);
     };
     match serde_json::from_slice::<Fingerprint>(&bytes) {
         Ok(content) => json(&host.quarantine.release(content)),
-        Err(_) => plain(StatusCode::BAD_REQUEST),
+        Err(_) => empty_response(StatusCode::BAD_REQUEST),
     }
 }
 
@@ -219,7 +223,7 @@
         } else {
             StatusCode::SERVICE_UNAVAILABLE
         };
-        std::future::ready(plain(status)).boxed()
+        std::future::ready(empty_response(status)).boxed()
     })
 }
 
@@ -248,12 +252,12 @@
 ) -> Response<Body> {
     let (head, incoming) = request.into_parts();
     let body = match body::read(incoming, MAX_CALL, CALL_IDLE_TIMEOUT).await {
-        Ok(Read::Whole(bytes)) => bytes,
-        Ok(Read::Start(..)) => return plain(StatusCode::PAYLOAD_TOO_LARGE),
-        Err(_) => return plain(StatusCode::BAD_REQUEST),
+        Ok(ReadResult::Whole(bytes)) => bytes,
+        Ok(ReadResult::Partial(..)) => return empty_response(StatusCode::PAYLOAD_TOO_LARGE),
+        Err(_) => return empty_response(StatusCode::BAD_REQUEST),
     };
     if head.method != Method::POST {
-        return plain(StatusCode::METHOD_NOT_ALLOWED);
+        return empty_response(StatusCode::METHOD_NOT_ALLOWED);
     }
     let message = (host.decoders.target_call)(&head.method, head.uri.path(), &body);
     let message = match message.map_err(|error| crate::logging::chain(&error)) {
@@ -282,12 +286,12 @@
     if is_leave && !is_recalled {
         // The store may still list the target as ready, and this node has not yet
         // restored its state. It will have when the target repeats the call.
-        return plain(StatusCode::SERVICE_UNAVAILABLE);
+        return empty_response(StatusCode::SERVICE_UNAVAILABLE);
     }
     if is_leaving && !is_written(&host, &mut written).await {
         // The state is not in the store, so it is not acknowledged and the target
         // repeats the call.
-        return plain(StatusCode::SERVICE_UNAVAILABLE);
+        return empty_response(StatusCode::SERVICE_UNAVAILABLE);
     }
     json_response(host.decoders.acknowledgement.clone())
 }
@@ -301,7 +305,7 @@
         reason = "bad",
         why = why
     );
-    plain(StatusCode::BAD_REQUEST)
+    empty_response(StatusCode::BAD_REQUEST)
 }
 
 fn apply(host: &Host, message: &TargetCall) -> Change {
--- a/src/transport/relay/egress.rs
+++ b/src/transport/relay/egress.rs
@@ -32,13 +32,13 @@
     transport::{
         http,
         relay::{
-            KEPT_BODY,
-            body::{self, Body, Read, ReadError},
-            content, host_of,
+            MAX_BUFFERED_BODY,
+            attempt::{AttemptGuard, AttemptOutcome},
+            body::{self, Body, ReadError, ReadResult},
+            host_of,
             ingress::{Delivery, Ingress, RunTime},
-            next::{self, PeerClient},
-            outstanding::{AttemptGuard, AttemptOutcome},
-            refused,
+            peer_client::{self, PeerClient},
+            refusal_response, request_fingerprint,
             serve::Handler,
         },
     },
@@ -112,7 +112,7 @@
     }
 
     /// Logs the retries of each service that had any, with its retry budget.
-    pub fn note_sent_again(&self) {
+    pub fn log_retries(&self) {
         let nodes = self.host.nodes();
         let budget = self.host.retry_budget.lock();
         let services = budget.usage(nodes, Instant::now());
@@ -133,8 +133,8 @@
 
     /// Closes idle connections and drops the state of nodes that have left and of routes
     /// that no longer exist.
-    pub fn tidy(&self) {
-        self.peers.tidy();
+    pub fn prune(&self) {
+        self.peers.prune();
         if let Some(table) = self.host.routes() {
             let mut ages = self.host.request_ages.lock();
             ages.retain(|route| table.has_route(route));
@@ -154,7 +154,9 @@
         let (head, incoming) = request.into_parts();
         let (call, version) = match self.find_route(head, arrived) {
             Ok(found) => found,
-            Err(refusal) => return refused(&refusal, NO_VERSION_RETRY_AFTER.duration() * 3),
+            Err(refusal) => {
+                return refusal_response(&refusal, NO_VERSION_RETRY_AFTER.duration() * 3);
+            }
         };
         let body = match self.read_body(incoming, &call).await {
             Ok(body) => body,
@@ -229,7 +231,7 @@
     }
 
     /// Reads a small body whole, and the start of a larger one.
-    async fn read_body(&self, incoming: Body, call: &Call) -> Result<Read, Refusal> {
+    async fn read_body(&self, incoming: Body, call: &Call) -> Result<ReadResult, Refusal> {
         let limits = self.host.limits();
         let max_bytes = limits.body.as_bytes();
         let too_large = || Refusal::rejected(413, too_large_reason(limits.body));
@@ -237,19 +239,21 @@
         if length.is_some_and(|length| length > max_bytes) {
             return Err(too_large());
         }
-        if length.is_some_and(|length| length > KEPT_BODY as u64) {
-            return Ok(Read::Start(Bytes::new(), incoming));
+        if length.is_some_and(|length| length > MAX_BUFFERED_BODY as u64) {
+            return Ok(ReadResult::Partial(Bytes::new(), incoming));
         }
         let idle_timeout = limits.idle_timeout.duration();
         let remaining = call.deadline.saturating_duration_since(Instant::now());
         let buffered = usize::try_from(max_bytes)
-            .unwrap_or(KEPT_BODY)
-            .min(KEPT_BODY);
+            .unwrap_or(MAX_BUFFERED_BODY)
+            .min(MAX_BUFFERED_BODY);
         match body::read(incoming, buffered, idle_timeout.min(remaining)).await {
-            Ok(Read::Start(first, _)) if first.len() as u64 > max_bytes => Err(too_large()),
+            Ok(ReadResult::Partial(first, _)) if first.len() as u64 > max_bytes => Err(too_large()),
             Ok(read) => Ok(read),
-            Err(ReadError::Still) => Err(Refusal::rejected(408, "request body stood still")),
-            Err(error @ ReadError::Broken(_)) => Err(Refusal::rejected(400, error.to_string())),
+            Err(ReadError::Stalled) => Err(Refusal::rejected(408, "request body stood still")),
+            Err(error @ ReadError::Interrupted(_)) => {
+                Err(Refusal::rejected(400, error.to_string()))
+            }
         }
     }
 
@@ -257,14 +261,14 @@
     async fn run_attempts(
         &self,
         call: &Call,
-        body: Read,
+        body: ReadResult,
         attempts: &mut Attempts,
     ) -> Result<Response<Body>, Refusal> {
         let max_body = self.host.limits().body;
         let is_exceeded = Arc::new(AtomicBool::new(false));
         let (mut streamed, whole) = match body {
-            Read::Whole(bytes) => (None, Some(bytes)),
-            Read::Start(first, rest) => {
+            ReadResult::Whole(bytes) => (None, Some(bytes)),
+            ReadResult::Partial(first, rest) => {
                 let body = Body::streamed(first, rest, call.deadline);
                 (
                     Some(body.limited(max_body.as_bytes(), is_exceeded.clone())),
@@ -273,8 +277,8 @@
             }
         };
         // A body that isn't buffered whole has at least the size of the buffer.
-        let bytes = whole.as_ref().map_or(KEPT_BODY, Bytes::len);
-        let content = content::fingerprint(&call.head, whole.as_deref());
+        let bytes = whole.as_ref().map_or(MAX_BUFFERED_BODY, Bytes::len);
+        let content = request_fingerprint::fingerprint(&call.head, whole.as_deref());
         while attempts.may_ask(&call.request(), Instant::now()) {
             let is_quarantined = self.host.quarantine.is_quarantined(&content);
             let choice = match is_quarantined {
@@ -489,7 +493,7 @@
             )
         };
         let arrival = attempts.queue_arrival(&call.request(), usual_run_time, since);
-        let arrival = match next::is_offered(call, &body) {
+        let arrival = match peer_client::is_offered(call, &body) {
             true => attempts::limit_offer_wait(arrival),
             false => arrival,
         };
@@ -606,7 +610,7 @@
                     left = remaining.as_millis(),
                     took = took,
                 );
-                refused(&refusal, remaining)
+                refusal_response(&refusal, remaining)
             }
         }
     }
--- a/src/transport/relay/front.rs
+++ b/src/transport/relay/http1_server.rs
@@ -27,9 +27,9 @@
     state::routing::Limits,
     transport::relay::{
         body::Body,
-        codec::{self, Decoder, Ending, Framing, Head, Piece},
-        plain,
-        serve::{Handler, LimitsNow, Phase},
+        codec::{self, Decoded, Decoder, Framing, Head, ResponseFraming},
+        empty_response,
+        serve::{CurrentLimits, Handler, Phase},
     },
 };
 
@@ -55,11 +55,11 @@
 
 /// Serves connections of callers with one handler.
 #[derive(Clone)]
-pub struct Front {
+pub struct Http1Server {
     /// The handler that answers the requests.
     pub handler: Handler,
     /// Returns the limits of the version in force.
-    pub limits: LimitsNow,
+    pub limits: CurrentLimits,
     /// The phase of the process's shutdown.
     pub phase: watch::Receiver<Phase>,
 }
@@ -86,7 +86,7 @@
 
 /// The state of one connection.
 struct Connection {
-    front: Front,
+    front: Http1Server,
     /// Bytes that were read but not decoded yet.
     bytes: BytesMut,
     /// The running requests, in the order of their arrival.
@@ -116,7 +116,7 @@
     }
 }
 
-impl Front {
+impl Http1Server {
     /// Serves a connection until it is closed.
     pub async fn serve(&self, stream: TcpStream) {
         let (mut reader, mut writer) = stream.into_split();
@@ -199,7 +199,7 @@
                 self.waiting_head = Some(head);
                 return Ok(());
             }
-            if has_body && head.expects {
+            if has_body && head.expects_continue {
                 writer.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
             }
             self.start_request(head, has_body);
@@ -233,7 +233,7 @@
         let Head {
             request,
             framing,
-            keeps: is_persistent,
+            is_persistent: is_persistent,
             ..
         } = head;
         let (method, version) = (request.method().clone(), request.version());
@@ -249,7 +249,7 @@
                 Framing::Length(length) => Some(length),
                 Framing::Chunked => None,
             };
-            Body::fed(receiver, length)
+            Body::from_channel(receiver, length)
         } else {
             Body::whole("")
         };
@@ -270,7 +270,7 @@
         self.is_closing = true;
         self.answers.push_back(Box::pin(async move {
             Answer {
-                response: plain(status),
+                response: empty_response(status),
                 method: Method::GET,
                 version: Version::HTTP_11,
                 is_persistent: false,
@@ -287,10 +287,10 @@
             return;
         }
         match body.decoder.next(&mut self.bytes) {
-            Ok(Piece::Data(bytes)) => body.next = Some(bytes),
-            Ok(Piece::Nothing) => {}
+            Ok(Decoded::Data(bytes)) => body.next = Some(bytes),
+            Ok(Decoded::Incomplete) => {}
             // An empty chunk marks the end.
-            Ok(Piece::End) => body.next = Some(Bytes::new()),
+            Ok(Decoded::End) => body.next = Some(Bytes::new()),
             // The channel is closed without an empty chunk, so the handler sees an aborted body.
             Err(_) => {
                 self.incoming_body = None;
@@ -336,7 +336,7 @@
         let written =
             tokio::time::timeout(WRITE_TIMEOUT, write_response(writer, answer, is_persistent));
         match written.await {
-            Ok(Ok(Ending::Close)) => Err(ConnectionEnd::Done),
+            Ok(Ok(ResponseFraming::Close)) => Err(ConnectionEnd::Done),
             Ok(Ok(_)) => Ok(()),
             Ok(Err(_)) | Err(_) => Err(ConnectionEnd::Disconnected),
         }
@@ -396,7 +396,7 @@
     writer: &mut OwnedWriteHalf,
     answer: Answer,
     is_persistent: bool,
-) -> Result<Ending, super::body::Fault> {
+) -> Result<ResponseFraming, super::body::Fault> {
     let Answer {
         response,
         method,
@@ -411,11 +411,11 @@
         let Ok(data) = frame?.into_data() else {
             continue;
         };
-        if ending == Ending::Chunks {
+        if ending == ResponseFraming::Chunks {
             out.extend_from_slice(format!("{:x}\r\n", data.len()).as_bytes());
         }
         out.extend_from_slice(&data);
-        if ending == Ending::Chunks {
+        if ending == ResponseFraming::Chunks {
             out.extend_from_slice(b"\r\n");
         }
         if out.len() >= READ_BYTES {
@@ -423,7 +423,7 @@
             out.clear();
         }
     }
-    if ending == Ending::Chunks {
+    if ending == ResponseFraming::Chunks {
         out.extend_from_slice(b"0\r\n\r\n");
     }
     writer.write_all(&out).await?;
--- a/src/transport/relay/ingress.rs
+++ b/src/transport/relay/ingress.rs
@@ -27,12 +27,12 @@
     transport::{
         http,
         relay::{
-            KEPT_BODY,
-            body::{self, Body, Read},
-            content, host_of,
-            offer::Inflow,
-            onward, plain,
+            MAX_BUFFERED_BODY,
+            body::{self, Body, ReadResult},
+            empty_response, forwarded_headers, host_of,
+            offer::UploadAdmission,
             pool::{Exchange, Failure, Pool, Settings},
+            request_fingerprint,
             serve::Handler,
         },
     },
@@ -43,10 +43,10 @@
 /// takes less than a millisecond. Targets keep idle connections for 10 s; one with another
 /// timeout announces it in a `Keep-Alive` header.
 const POOL: Settings = Settings {
-    connect: Duration::from_millis(300),
-    keep: Duration::from_secs(8),
-    kept: 64,
-    total: 64,
+    connect_timeout: Duration::from_millis(300),
+    idle_timeout: Duration::from_secs(8),
+    max_idle_per_address: 64,
+    max_idle: 64,
 };
 
 /// The reason of a refusal because the host's link can't carry the large answer in time.
@@ -120,7 +120,7 @@
 /// Delivers requests to the target on this host.
 pub struct Ingress {
     host: Arc<Host>,
-    inflow: Inflow,
+    inflow: UploadAdmission,
     pool: Pool,
 }
 
@@ -161,7 +161,7 @@
     /// Returns the ingress side of `host`, with no connections yet.
     pub fn new(host: Arc<Host>) -> Arc<Self> {
         Arc::new(Self {
-            inflow: Inflow::new(host.settings.bandwidth()),
+            inflow: UploadAdmission::new(host.settings.bandwidth()),
             host,
             pool: Pool::new(POOL),
         })
@@ -177,8 +177,8 @@
     }
 
     /// Closes idle connections to the target.
-    pub fn tidy(&self) {
-        self.pool.tidy();
+    pub fn prune(&self) {
+        self.pool.prune();
     }
 
     /// Sends a request to the target once the gate admits it, and returns the response. Except
@@ -215,7 +215,7 @@
         let body = self.read_body(delivery, head, body).await?;
         let run = Run {
             head,
-            content: content::fingerprint(head, body.known()),
+            content: request_fingerprint::fingerprint(head, body.buffered()),
             since: Instant::now(),
             deadline: delivery.deadline,
         };
@@ -390,7 +390,7 @@
         let mut request = Request::new(body);
         *request.method_mut() = head.method.clone();
         *request.uri_mut() = origin_form(&head.uri);
-        *request.headers_mut() = onward(&head.headers);
+        *request.headers_mut() = forwarded_headers(&head.headers);
         let headers = request.headers_mut();
         let remaining = delivery.deadline.saturating_duration_since(Instant::now());
         headers.insert(
@@ -420,7 +420,7 @@
                 502,
                 self.disconnect_reason(permit, run).await,
             )),
-            Failure::TimedOut | Failure::Untaken => {
+            Failure::TimedOut | Failure::NotAccepted => {
                 Refused::after_arrival(Refusal::unknown(504, "target did not answer in time"))
             }
         }
@@ -433,7 +433,7 @@
     /// listens at its address any more. A running target may break off a single response.
     async fn disconnect_reason(&self, permit: &Permit, run: &Run<'_>) -> &'static str {
         let target = &permit.target;
-        if !self.pool.is_closed(target.address, run.deadline).await {
+        if !self.pool.is_refused(target.address, run.deadline).await {
             return TARGET_BROKE_OFF;
         }
         let dialect = &self.host.decoders.dialect;
@@ -516,33 +516,33 @@
         } = exchange;
         let (head, incoming) = response.into_parts();
         let remaining = delivery.deadline.saturating_duration_since(Instant::now());
-        let read = body::read(incoming, KEPT_BODY, remaining).await;
+        let read = body::read(incoming, MAX_BUFFERED_BODY, remaining).await;
         let read = match read {
             Ok(read) => read,
-            Err(error @ body::ReadError::Still) => {
+            Err(error @ body::ReadError::Stalled) => {
                 return Err(Refused::after_arrival(Refusal::unknown(
                     504,
                     error.to_string(),
                 )));
             }
-            Err(body::ReadError::Broken(_)) => {
+            Err(body::ReadError::Interrupted(_)) => {
                 let reason = self.disconnect_reason(&permit, run).await;
                 return Err(Refused::after_arrival(Refusal::unknown(502, reason)));
             }
         };
         let body = match read {
-            Read::Whole(bytes) => {
+            ReadResult::Whole(bytes) => {
                 self.pool.put_back(connection);
                 self.host.quarantine.note_answer(run.content);
                 Body::whole(bytes)
             }
-            Read::Start(first, rest) => {
+            ReadResult::Partial(first, rest) => {
                 Body::streamed(first, rest, delivery.deadline).holding((permit, connection))
             }
         };
         let mut response = Response::new(body);
         *response.status_mut() = head.status;
-        *response.headers_mut() = onward(&head.headers);
+        *response.headers_mut() = forwarded_headers(&head.headers);
         Ok(response)
     }
 
@@ -569,7 +569,7 @@
                 (response, report)
             }
             Err(refused) => (
-                empty_response(refused.refusal.status),
+                response_of_status(refused.refusal.status),
                 self.report(Some(refused)),
             ),
         };
@@ -633,7 +633,7 @@
             .check(arrival)
             .map_err(Refused::before_arrival)?;
         let slack = link_share::body_slack(arrival, Instant::now());
-        let reservation = self.inflow.count_in(length, slack);
+        let reservation = self.inflow.reserve(length, slack);
         let refused = |wait| Refused::before_arrival(Refusal::not_run(LINK_FULL, Span::of(wait)));
         let _reservation = reservation.map_err(refused)?;
         self.read_body(delivery, head, body).await
@@ -651,7 +651,7 @@
             return Ok(body);
         }
         let length = http::parse::<usize>(&head.headers, "content-length");
-        if length.is_some_and(|length| length > KEPT_BODY) {
+        if length.is_some_and(|length| length > MAX_BUFFERED_BODY) {
             return Ok(Body::streamed(Default::default(), body, delivery.deadline));
         }
         let is_offered = head.headers.contains_key(hyper::header::EXPECT);
@@ -659,12 +659,12 @@
         let mut waited = Duration::ZERO;
         let read = async {
             let _link_permit = match is_offered {
-                true => self.inflow.enter(length).await,
+                true => self.inflow.wait_for_link(length).await,
                 false => None,
             };
             waited = since.elapsed();
             let remaining = delivery.deadline.saturating_duration_since(Instant::now());
-            body::read(body, KEPT_BODY, remaining).await
+            body::read(body, MAX_BUFFERED_BODY, remaining).await
         };
         let refuse = |reason: String| {
             Refused::before_arrival(Refusal::not_run(reason, Span::from_millis(100)))
@@ -683,12 +683,14 @@
                 bytes = length.unwrap_or_default(),
                 waited = waited.as_millis(),
                 took = since.elapsed().as_millis(),
-                is_whole = matches!(read, Ok(Ok(Read::Whole(_)))),
+                is_whole = matches!(read, Ok(Ok(ReadResult::Whole(_)))),
             );
         }
         match read {
-            Ok(Ok(Read::Whole(bytes))) => Ok(Body::whole(bytes)),
-            Ok(Ok(Read::Start(first, rest))) => Ok(Body::streamed(first, rest, delivery.deadline)),
+            Ok(Ok(ReadResult::Whole(bytes))) => Ok(Body::whole(bytes)),
+            Ok(Ok(ReadResult::Partial(first, rest))) => {
+                Ok(Body::streamed(first, rest, delivery.deadline))
+            }
             Ok(Err(error)) => Err(refuse(error.to_string())),
             Err(_) => Err(refuse(LINK_FULL.into())),
         }
@@ -741,8 +743,8 @@
     }
 }
 
-fn empty_response(status: u16) -> Response<Body> {
-    plain(StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY))
+fn response_of_status(status: u16) -> Response<Body> {
+    empty_response(StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY))
 }
 
 /// Returns the refusal that a peer reported, or `None` if the response is the target's answer.
--- a/src/transport/relay/mod.rs
+++ b/src/transport/relay/mod.rs
@@ -10,18 +10,18 @@
 //! whether an idle connection holds unread bytes before it is reused
 //! (docs/DESIGN.md).
 
+pub mod attempt;
 pub mod body;
 pub mod codec;
-pub mod content;
 pub mod control;
 pub mod egress;
-pub mod front;
+pub mod http1_server;
 pub mod ingress;
 pub mod io;
-pub mod next;
 pub mod offer;
-pub mod outstanding;
+pub mod peer_client;
 pub mod pool;
+pub mod request_fingerprint;
 pub mod serve;
 
 use std::time::Duration;
@@ -35,13 +35,13 @@
 
 /// The largest body that is buffered whole, in bytes. Uploads of both meshes
 /// are smaller, and 100 such bodies at once take a fifth of a process's memory.
-pub const KEPT_BODY: usize = 512 << 10;
+pub const MAX_BUFFERED_BODY: usize = 512 << 10;
 
 /// Headers that a node handles itself and never forwards.
 const LOCAL_HEADERS: [&str; 1] = ["expect"];
 
 /// Returns the headers of a request or response that are forwarded.
-pub fn onward(headers: &HeaderMap) -> HeaderMap {
+pub fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let mut forwarded = http::end_to_end(headers, hop::HEADER);
     for name in LOCAL_HEADERS {
         forwarded.remove(name);
@@ -50,7 +50,7 @@
 }
 
 /// Returns a response with `status` and an empty body.
-pub fn plain(status: StatusCode) -> Response<Body> {
+pub fn empty_response(status: StatusCode) -> Response<Body> {
     let mut response = Response::new(Body::whole(""));
     *response.status_mut() = status;
     response
@@ -60,7 +60,7 @@
 ///
 /// `retry-after` is at most a third of `left`: after a longer pause the caller
 /// would have no time left for the response.
-pub fn refused(refusal: &Refusal, left: Duration) -> Response<Body> {
+pub fn refusal_response(refusal: &Refusal, left: Duration) -> Response<Body> {
     let status = StatusCode::from_u16(refusal.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = Response::new(Body::whole(format!(
         "{}: {}\n",
--- a/src/transport/relay/offer.rs
+++ b/src/transport/relay/offer.rs
@@ -33,10 +33,10 @@
 
 /// The size assumed for a body of unknown length, in bytes: that of the largest body that is
 /// buffered whole.
-const ASSUMED_BYTES: usize = super::KEPT_BODY;
+const ASSUMED_BYTES: usize = super::MAX_BUFFERED_BODY;
 
 /// Admits request bodies as far as the bandwidth of the host's link allows.
-pub struct Inflow {
+pub struct UploadAdmission {
     /// A semaphore with a permit for each KiB in transit, and the number of its permits; `None`
     /// if the bandwidth is unknown.
     permits: Option<(Semaphore, u32)>,
@@ -44,7 +44,7 @@
     flow: Flow,
 }
 
-impl Inflow {
+impl UploadAdmission {
     /// Returns the admission for a link of `bandwidth` Mbit/s. 0 means that the bandwidth is
     /// unknown, and admits everything.
     pub fn new(bandwidth: u32) -> Self {
@@ -63,18 +63,14 @@
     ///
     /// If the body would take longer than `slack` after those reserved before; the error is the
     /// excess.
-    pub fn count_in(
-        &self,
-        length: Option<usize>,
-        slack: Duration,
-    ) -> Result<Reservation, Duration> {
+    pub fn reserve(&self, length: Option<usize>, slack: Duration) -> Result<Reservation, Duration> {
         self.flow.reserve(length.unwrap_or(ASSUMED_BYTES), slack)
     }
 
     /// Waits until a body of `length` bytes may be received. The returned permit must be held
     /// until the body has arrived. A body larger than the total of permits waits until no other
     /// is in transit.
-    pub async fn enter(&self, length: Option<usize>) -> Option<SemaphorePermit<'_>> {
+    pub async fn wait_for_link(&self, length: Option<usize>) -> Option<SemaphorePermit<'_>> {
         let (permits, total) = self.permits.as_ref()?;
         let kib = length.unwrap_or(ASSUMED_BYTES).div_ceil(1 << 10);
         let kib = u32::try_from(kib).unwrap_or(u32::MAX).min(*total);
@@ -94,12 +90,12 @@
 impl Offer {
     /// Withdraws the offer. Returns whether it was not accepted before: nothing of the body has
     /// been sent, or ever will be.
-    pub fn take_back(&self) -> bool {
+    pub fn withdraw(&self) -> bool {
         self.go_ahead.lock().take().is_some()
     }
 
     /// Returns whether the peer has accepted the offer, or it was withdrawn.
-    pub fn is_taken(&self) -> bool {
+    pub fn is_accepted(&self) -> bool {
         self.go_ahead.lock().is_none()
     }
 }
@@ -108,7 +104,7 @@
 /// to the offer.
 pub fn offer(request: Request<Body>) -> (Request<Body>, Offer) {
     let (sender, receiver) = oneshot::channel();
-    let mut request = request.map(|body| body.after(receiver));
+    let mut request = request.map(|body| body.gated_by(receiver));
     request
         .headers_mut()
         .insert(EXPECT, HeaderValue::from_static("100-continue"));
--- a/src/transport/relay/next.rs
+++ b/src/transport/relay/peer_client.rs
@@ -23,12 +23,13 @@
     transport::{
         http,
         relay::{
-            KEPT_BODY,
-            body::{self, Body, Read},
+            MAX_BUFFERED_BODY,
+            attempt::{AttemptGuard, AttemptOutcome},
+            body::{self, Body, ReadResult},
             egress::Call,
+            forwarded_headers,
             ingress::{self, Delivery, Refused},
-            offer, onward,
-            outstanding::{AttemptGuard, AttemptOutcome},
+            offer,
             pool::{Exchange, Failure, Pool, Settings},
         },
     },
@@ -43,10 +44,10 @@
 /// the idle connection has been closed: nearly all idle connections are closed unused. So only
 /// the few latest are kept, for requests in close succession.
 const POOL: Settings = Settings {
-    connect: Duration::from_millis(250),
-    keep: Duration::from_secs(5),
-    kept: 8,
-    total: 32,
+    connect_timeout: Duration::from_millis(250),
+    idle_timeout: Duration::from_secs(5),
+    max_idle_per_address: 8,
+    max_idle: 32,
 };
 
 /// How long a peer may take to accept an offered body, in addition to the maximum wait of the
@@ -72,8 +73,8 @@
     }
 
     /// Closes idle connections.
-    pub fn tidy(&self) {
-        self.pool.tidy();
+    pub fn prune(&self) {
+        self.pool.prune();
     }
 
     /// Sends a request to the node beside the target, and returns how the attempt ended. Puts
@@ -100,7 +101,7 @@
             Err(failure) => {
                 guard.node_failure = Some(node_failure(&failure));
                 if matches!(guard.node_failure, Some(AttemptResult::Lost(_))) {
-                    self.pool.forget(member.inbound);
+                    self.pool.close_idle(member.inbound);
                 }
                 return AttemptOutcome::Refused(refuse_failure(&failure));
             }
@@ -123,20 +124,20 @@
         });
         let (head, incoming) = response.into_parts();
         let remaining = call.deadline.saturating_duration_since(Instant::now());
-        let read = body::read(incoming, KEPT_BODY, remaining).await;
+        let read = body::read(incoming, MAX_BUFFERED_BODY, remaining).await;
         let body = match (read, refused) {
-            (Ok(Read::Whole(_)), Some(refused)) if !is_offered => {
+            (Ok(ReadResult::Whole(_)), Some(refused)) if !is_offered => {
                 self.pool.put_back(connection);
                 return AttemptOutcome::Refused(refused);
             }
             // The connection of a refused offer can't be reused: the peer still expects the
             // announced body on it.
             (_, Some(refused)) => return AttemptOutcome::Refused(refused),
-            (Ok(Read::Whole(bytes)), None) => {
+            (Ok(ReadResult::Whole(bytes)), None) => {
                 self.pool.put_back(connection);
                 Body::whole(bytes)
             }
-            (Ok(Read::Start(first, rest)), None) => {
+            (Ok(ReadResult::Partial(first, rest)), None) => {
                 Body::streamed(first, rest, call.deadline).holding(connection)
             }
             (Err(_), None) => {
@@ -149,7 +150,7 @@
         };
         let mut response = Response::new(body);
         *response.status_mut() = head.status;
-        *response.headers_mut() = onward(&head.headers);
+        *response.headers_mut() = forwarded_headers(&head.headers);
         AttemptOutcome::Answered(response)
     }
 
@@ -168,12 +169,12 @@
         let early = tokio::time::timeout_at(offer_deadline.into(), sending.as_mut()).await;
         let result = match early {
             Ok(result) => result,
-            Err(_) if offer.take_back() => return Err(Failure::Untaken),
+            Err(_) if offer.withdraw() => return Err(Failure::NotAccepted),
             Err(_) => sending.await,
         };
         result.map_err(|failure| match failure {
-            Failure::Broken(error) if offer.take_back() => {
-                let is_timeout = Failure::Broken(error).is_silence();
+            Failure::Broken(error) if offer.withdraw() => {
+                let is_timeout = Failure::Broken(error).is_timeout();
                 let kind = if is_timeout {
                     std::io::ErrorKind::TimedOut
                 } else {
@@ -181,7 +182,7 @@
                 };
                 Failure::NotSent(kind.into())
             }
-            Failure::TimedOut if offer.take_back() => Failure::Untaken,
+            Failure::TimedOut if offer.withdraw() => Failure::NotAccepted,
             failure => failure,
         })
     }
@@ -197,7 +198,7 @@
         let mut request = Request::new(body);
         *request.method_mut() = call.head.method.clone();
         *request.uri_mut() = ingress::origin_form(&call.head.uri);
-        *request.headers_mut() = onward(&call.head.headers);
+        *request.headers_mut() = forwarded_headers(&call.head.headers);
         let now = Instant::now();
         let remaining = |until: Instant| Span::of(until.saturating_duration_since(now));
         let ask = hop::Request {
@@ -227,7 +228,7 @@
 /// Returns the refusal for a request that got no response from a peer.
 fn refuse_failure(failure: &Failure) -> Refused {
     let (refusal, has_arrived) = match failure {
-        Failure::Untaken => (
+        Failure::NotAccepted => (
             Refusal::not_run("node does not take it", UNREACHABLE_RETRY_AFTER),
             false,
         ),
@@ -247,10 +248,10 @@
 /// Returns what a failure means for the reachability of the peer.
 fn node_failure(failure: &Failure) -> AttemptResult {
     match failure {
-        Failure::TimedOut | Failure::Untaken => AttemptResult::Late,
+        Failure::TimedOut | Failure::NotAccepted => AttemptResult::Late,
         // The body ended with an error on this side: the caller disconnected or sent too much.
         Failure::Broken(error) if error.is_user() => AttemptResult::Abandoned,
-        failure if failure.is_silence() => AttemptResult::Lost(reach::Failure::Silent),
+        failure if failure.is_timeout() => AttemptResult::Lost(reach::Failure::Silent),
         _ => AttemptResult::Lost(reach::Failure::Closed),
     }
 }
--- a/src/transport/relay/pool.rs
+++ b/src/transport/relay/pool.rs
@@ -38,13 +38,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
     /// How long connecting may take.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// How long an idle connection is kept open.
-    pub keep: Duration,
+    pub idle_timeout: Duration,
     /// The most idle connections to each address.
-    pub kept: usize,
+    pub max_idle_per_address: usize,
     /// The most idle connections in all; beyond it, the one that was idle longest is closed.
-    pub total: usize,
+    pub max_idle: usize,
 }
 
 /// Why a request got no response.
@@ -58,7 +58,7 @@
     Broken(#[source] hyper::Error),
     /// The other end did not send `100 Continue` in time; nothing of the body was sent.
     #[error("no 100 Continue in time")]
-    Untaken,
+    NotAccepted,
     /// The deadline passed after something may have been sent.
     #[error("no answer in time")]
     TimedOut,
@@ -67,7 +67,7 @@
 impl Failure {
     /// Returns whether the other host did not respond at all, not even by refusing the
     /// connection.
-    pub fn is_silence(&self) -> bool {
+    pub fn is_timeout(&self) -> bool {
         match self {
             Self::NotSent(error) => error.kind() == std::io::ErrorKind::TimedOut,
             Self::Broken(error) => {
@@ -75,7 +75,7 @@
                 let source = source.and_then(|source| source.downcast_ref::<std::io::Error>());
                 source.is_some_and(|error| error.kind() == std::io::ErrorKind::TimedOut)
             }
-            Self::TimedOut | Self::Untaken => true,
+            Self::TimedOut | Self::NotAccepted => true,
         }
     }
 }
@@ -211,7 +211,7 @@
     /// The system closes the connections and the listener of a process that ended one after
     /// the other. So if a connection is accepted and closed at once, a second one is tried.
     /// Only a refused connection counts, since targets at their limit also accept and close.
-    pub async fn is_closed(&self, address: SocketAddr, deadline: Instant) -> bool {
+    pub async fn is_refused(&self, address: SocketAddr, deadline: Instant) -> bool {
         let mut connected = self.connect(address, deadline).await;
         if let Ok(connection) = connected {
             tokio::time::sleep(SOCKET_CLOSE_TIME).await;
@@ -233,10 +233,10 @@
             return;
         }
         let mut idle = self.idle.lock();
-        if idle.count_of(connection.address) >= self.settings.kept {
+        if idle.count_of(connection.address) >= self.settings.max_idle_per_address {
             return;
         }
-        if idle.count >= self.settings.total {
+        if idle.count >= self.settings.max_idle {
             idle.close_oldest();
         }
         idle.put(IdleConnection {
@@ -246,23 +246,23 @@
     }
 
     /// Closes the idle connections that expired or that the other end closed.
-    pub fn tidy(&self) {
+    pub fn prune(&self) {
         let now = Instant::now();
         let mut idle = self.idle.lock();
         idle.addresses.retain(|_, list| {
-            list.retain(|idle| idle.is_usable(self.settings.keep, now));
+            list.retain(|idle| idle.is_usable(self.settings.idle_timeout, now));
             !list.is_empty()
         });
         idle.count = idle.addresses.values().map(Vec::len).sum();
     }
 
     /// Returns the number of idle connections.
-    pub fn unused(&self) -> usize {
+    pub fn idle_count(&self) -> usize {
         self.idle.lock().count
     }
 
     /// Closes all idle connections to `address`.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn close_idle(&self, address: SocketAddr) {
         self.idle.lock().close_all(address);
     }
 
@@ -270,7 +270,7 @@
         let now = Instant::now();
         let mut idle = self.idle.lock();
         while let Some(candidate) = idle.take(address) {
-            if candidate.is_usable(self.settings.keep, now) {
+            if candidate.is_usable(self.settings.idle_timeout, now) {
                 return Some(candidate.connection);
             }
         }
@@ -278,7 +278,7 @@
     }
 
     async fn connect(&self, address: SocketAddr, deadline: Instant) -> Result<Connection, Failure> {
-        let until = deadline.min(Instant::now() + self.settings.connect);
+        let until = deadline.min(Instant::now() + self.settings.connect_timeout);
         let stream = tokio::time::timeout_at(until.into(), TcpStream::connect(address)).await;
         let stream = stream
             .unwrap_or_else(|_| Err(std::io::ErrorKind::TimedOut.into()))
@@ -294,7 +294,7 @@
             address,
             sender,
             stream,
-            idle_timeout: self.settings.keep,
+            idle_timeout: self.settings.idle_timeout,
         })
     }
 }
--- a/src/transport/relay/serve.rs
+++ b/src/transport/relay/serve.rs
@@ -22,7 +22,7 @@
     state::routing::Limits,
     transport::relay::{
         body::Body,
-        front::Front,
+        http1_server::Http1Server,
         io::{Io, prepare},
     },
 };
@@ -31,7 +31,7 @@
 pub type Handler = Arc<dyn Fn(Request<Body>) -> BoxFuture<'static, Response<Body>> + Send + Sync>;
 
 /// Returns the limits for a new connection.
-pub type LimitsNow = Arc<dyn Fn() -> Limits + Send + Sync>;
+pub type CurrentLimits = Arc<dyn Fn() -> Limits + Send + Sync>;
 
 /// The smallest buffer that hyper allows, in bytes.
 const MIN_BUFFER: usize = 8 << 10;
@@ -55,28 +55,28 @@
 
 /// Whose connections a server accepts.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Whose {
+pub enum ClientKind {
     /// Those of callers, with several requests at a time on each.
     Callers,
     /// Those of nodes, targets and the platform, with one request at a time on each.
-    Others,
+    Internal,
 }
 
 /// A server and the state of its connections.
 #[derive(Clone)]
 pub struct Server {
     /// Whose connections it accepts.
-    pub whose: Whose,
+    pub client: ClientKind,
     /// Responds to requests.
     pub handler: Handler,
     /// The limits of new connections.
-    pub limits: LimitsNow,
+    pub limits: CurrentLimits,
     /// The phase of the process.
     pub phase: watch::Receiver<Phase>,
     /// The most open connections; further ones wait to be accepted.
-    pub most: usize,
+    pub max_connections: usize,
     /// The number of open connections.
-    pub open: Arc<AtomicUsize>,
+    pub open_connections: Arc<AtomicUsize>,
 }
 
 /// Returns a listener on `address`.
@@ -103,8 +103,8 @@
         let mut phase = self.phase.clone();
         loop {
             let accepted = tokio::select! {
-                accepted = listener.accept(), if self.open.load(Ordering::Relaxed) < self.most => accepted,
-                () = tokio::time::sleep(ACCEPT_PAUSE), if self.open.load(Ordering::Relaxed) >= self.most => continue,
+                accepted = listener.accept(), if self.open_connections.load(Ordering::Relaxed) < self.max_connections => accepted,
+                () = tokio::time::sleep(ACCEPT_PAUSE), if self.open_connections.load(Ordering::Relaxed) >= self.max_connections => continue,
                 _ = phase.wait_for(|phase| *phase == Phase::Closing) => break,
             };
             match accepted {
@@ -113,18 +113,18 @@
             }
         }
         drop(listener);
-        while self.open.load(Ordering::Relaxed) > 0 {
+        while self.open_connections.load(Ordering::Relaxed) > 0 {
             tokio::time::sleep(ACCEPT_PAUSE).await;
         }
         Ok(())
     }
 
     fn spawn(&self, stream: TcpStream) {
-        self.open.fetch_add(1, Ordering::Relaxed);
+        self.open_connections.fetch_add(1, Ordering::Relaxed);
         let server = self.clone();
         tokio::spawn(async move {
             server.serve_connection(stream).await;
-            server.open.fetch_sub(1, Ordering::Relaxed);
+            server.open_connections.fetch_sub(1, Ordering::Relaxed);
         });
     }
 
@@ -133,8 +133,8 @@
             // The other end closed the connection already.
             return;
         }
-        if self.whose == Whose::Callers {
-            let front = Front {
+        if self.client == ClientKind::Callers {
+            let front = Http1Server {
                 handler: self.handler.clone(),
                 limits: self.limits.clone(),
                 phase: self.phase.clone(),
--- a/standins/src/store.rs
+++ b/standins/src/store.rs
@@ -16,9 +16,9 @@
 use rilltrack::{
     state::routing::Limits,
     transport::relay::{
-        body::{self, Body, Read},
-        plain,
-        serve::{self, Handler, Phase, Server, Whose},
+        body::{self, Body, ReadResult},
+        empty_response,
+        serve::{self, ClientKind, Handler, Phase, Server},
     },
 };
 use serde_json::{Value, json};
@@ -126,12 +126,12 @@
             async move { store.answer(request).await }.boxed()
         });
         let server = Server {
-            whose: Whose::Others,
+            client: ClientKind::Internal,
             handler,
             limits: Arc::new(Limits::default),
             phase: seen,
-            most: 1000,
-            open: Arc::default(),
+            max_connections: 1000,
+            open_connections: Arc::default(),
         };
         tokio::spawn(async move { server.run(listener).await.unwrap() });
         store
@@ -249,7 +249,7 @@
     async fn answer(&self, request: Request<Body>) -> Response<Body> {
         let mode = self.current_mode();
         match mode {
-            Mode::Refusing => return plain(StatusCode::SERVICE_UNAVAILABLE),
+            Mode::Refusing => return empty_response(StatusCode::SERVICE_UNAVAILABLE),
             Mode::Silent => std::future::pending().await,
             Mode::Up | Mode::LosingAnswers => {}
         }
@@ -272,14 +272,14 @@
             }
             "/api/log-read" => self.read(&query).await,
             "/api/log-newest" => self.newest(&query),
-            _ => plain(StatusCode::NOT_FOUND),
+            _ => empty_response(StatusCode::NOT_FOUND),
         }
     }
 
     async fn append(&self, query: &HashMap<String, String>, body: Body) -> Response<Body> {
         let read = body::read(body, 2 << 20, Duration::from_secs(5)).await;
-        let Ok(Read::Whole(mut bytes)) = read else {
-            return plain(StatusCode::BAD_REQUEST);
+        let Ok(ReadResult::Whole(mut bytes)) = read else {
+            return empty_response(StatusCode::BAD_REQUEST);
         };
         let mut log = self.log.lock();
         let topic = log.topics.entry(query["topic"].clone()).or_default();
@@ -310,7 +310,7 @@
         let until = tokio::time::Instant::now() + Duration::from_millis(wait);
         loop {
             match self.current_mode() {
-                Mode::Refusing => return plain(StatusCode::SERVICE_UNAVAILABLE),
+                Mode::Refusing => return empty_response(StatusCode::SERVICE_UNAVAILABLE),
                 Mode::Silent => std::future::pending().await,
                 Mode::Up | Mode::LosingAnswers => {}
             }
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -49,11 +49,11 @@
         selector::Labels,
     },
     transport::relay::{
-        body::{self, Body, Read},
-        codec::{self, Decoder, Framing, Piece},
-        offer::{self, Inflow},
+        body::{self, Body, ReadResult},
+        codec::{self, Decoded, Decoder, Framing},
+        offer::{self, UploadAdmission},
         pool::{self, Failure, Pool},
-        serve::{self, Handler, Phase, Server, Whose},
+        serve::{self, ClientKind, Handler, Phase, Server},
     },
     unit::{Size, Span},
 };
@@ -332,7 +332,7 @@
 
 /// Serves `handler` on a free port until the test ends; returns the address and the phase.
 async fn serve(
-    whose: Whose,
+    client: ClientKind,
     limits: Limits,
     handler: Handler,
 ) -> (SocketAddr, watch::Sender<Phase>) {
@@ -340,12 +340,12 @@
     let address = listener.local_addr().unwrap();
     let (phase, seen) = watch::channel(Phase::Serving);
     let server = Server {
-        whose,
+        client,
         handler,
         limits: Arc::new(move || limits),
         phase: seen,
-        most: 100,
-        open: Arc::default(),
+        max_connections: 100,
+        open_connections: Arc::default(),
     };
     tokio::spawn(async move { server.run(listener).await.unwrap() });
     (address, phase)
@@ -357,10 +357,10 @@
         async move {
             let path = request.uri().path().to_owned();
             match body::read(request.into_body(), 1 << 20, Duration::from_secs(5)).await {
-                Ok(Read::Whole(bytes)) => {
+                Ok(ReadResult::Whole(bytes)) => {
                     Response::new(Body::whole([path.as_bytes(), b"=", &bytes].concat()))
                 }
-                Ok(Read::Start(..)) => Response::new(Body::whole("long")),
+                Ok(ReadResult::Partial(..)) => Response::new(Body::whole("long")),
                 Err(error) => Response::new(Body::whole(error.to_string())),
             }
         }
@@ -1236,9 +1236,9 @@
                 received.extend_from_slice(part);
                 while !has_ended {
                     match decoder.next(&mut received).unwrap() {
-                        Piece::Data(data) => whole.extend_from_slice(&data),
-                        Piece::Nothing => break,
-                        Piece::End => has_ended = true,
+                        Decoded::Data(data) => whole.extend_from_slice(&data),
+                        Decoded::Incomplete => break,
+                        Decoded::End => has_ended = true,
                     }
                 }
             }
@@ -1287,7 +1287,7 @@
             }
             .boxed()
         });
-        let (address, _phase) = serve(Whose::Callers, Limits::default(), handler).await;
+        let (address, _phase) = serve(ClientKind::Callers, Limits::default(), handler).await;
         let get = |path| {
             let last = if path == "c" { "connection: close\r\n" } else { "" };
             format!("GET /{path} HTTP/1.1\r\nhost: x\r\n{last}\r\n")
@@ -1300,7 +1300,7 @@
     }
 
     pipelined_requests_keep_their_bodies => {
-        let (address, _phase) = serve(Whose::Callers, Limits::default(), echo()).await;
+        let (address, _phase) = serve(ClientKind::Callers, Limits::default(), echo()).await;
         let sent = "GET /a HTTP/1.1\r\nhost: x\r\n\r\n\
                     POST /b HTTP/1.1\r\nhost: x\r\ncontent-length: 3\r\n\r\nxyz\
                     POST /c HTTP/1.1\r\nhost: x\r\ntransfer-encoding: chunked\r\n\r\n2\r\nuv\r\n0\r\n\r\n\
@@ -1336,7 +1336,7 @@
         std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
             runtime.block_on(async {
-                let (address, _phase) = serve(Whose::Callers, Limits::default(), handler).await;
+                let (address, _phase) = serve(ClientKind::Callers, Limits::default(), handler).await;
                 sender.send(address).unwrap();
                 std::future::pending::<()>().await;
             });
@@ -1354,14 +1354,14 @@
     }
 
     invalid_request_gets_400_and_a_close => {
-        let (address, _phase) = serve(Whose::Callers, Limits::default(), echo()).await;
+        let (address, _phase) = serve(ClientKind::Callers, Limits::default(), echo()).await;
         let answer = raw::until_closed(address, b"\x16\x03\x01 no http\r\n\r\n").await;
         assert!(answer.starts_with("HTTP/1.1 400 ") && answer.contains("connection: close"), "{answer}");
     }
 
     head_beyond_the_limit_gets_431 => {
         let limits = Limits { head: Size::from_bytes(1024), ..Limits::default() };
-        let (address, _phase) = serve(Whose::Callers, limits, echo()).await;
+        let (address, _phase) = serve(ClientKind::Callers, limits, echo()).await;
         let long = format!("GET / HTTP/1.1\r\nhost: x\r\na: {}", "b".repeat(4000));
         let answer = raw::until_closed(address, long.as_bytes()).await;
         assert!(answer.starts_with("HTTP/1.1 431 "), "{answer}");
@@ -1369,7 +1369,7 @@
 
     head_that_never_ends_gets_408 => {
         let limits = Limits { head_timeout: Span::from_millis(50), ..Limits::default() };
-        let (address, _phase) = serve(Whose::Callers, limits, echo()).await;
+        let (address, _phase) = serve(ClientKind::Callers, limits, echo()).await;
         let answer = raw::until_closed(address, b"GET / HTTP/1.1\r\nhost: x\r\n").await;
         assert!(answer.starts_with("HTTP/1.1 408 "), "{answer}");
     }
@@ -1392,7 +1392,7 @@
             }
             .boxed()
         });
-        let (address, _phase) = serve(Whose::Callers, Limits::default(), handler).await;
+        let (address, _phase) = serve(ClientKind::Callers, Limits::default(), handler).await;
         let stream = tokio::net::TcpStream::connect(address).await.unwrap();
         let twice = b"GET / HTTP/1.1\r\nhost: x\r\n\r\nGET / HTTP/1.1\r\nhost: x\r\n\r\n";
         stream.writable().await.unwrap();
@@ -1413,7 +1413,7 @@
             }
             .boxed()
         });
-        let (address, phase) = serve(Whose::Callers, Limits::default(), handler).await;
+        let (address, phase) = serve(ClientKind::Callers, Limits::default(), handler).await;
         let response = tokio::spawn(async move {
             raw::until_closed(address, b"GET / HTTP/1.1\r\nhost: x\r\n\r\n").await
         });
@@ -1668,7 +1668,7 @@
         for _ in 0..5 {
             let exchange = get(&pool, address).await.unwrap();
             let read = body::read(exchange.response.into_body(), 100, Duration::from_secs(5)).await;
-            let Ok(Read::Whole(bytes)) = read else { panic!("the body could not be read whole") };
+            let Ok(ReadResult::Whole(bytes)) = read else { panic!("the body could not be read whole") };
             assert_eq!(&bytes[..], b"1");
             pool.put_back(exchange.connection);
         }
@@ -1683,16 +1683,16 @@
             let (address, seen) = raw::target(move |_| Some(answer.clone())).await;
             let exchange = get(&pool, address).await.unwrap();
             let read = body::read(exchange.response.into_body(), 100, Duration::from_secs(5)).await;
-            assert!(matches!(read, Ok(Read::Whole(_))));
+            assert!(matches!(read, Ok(ReadResult::Whole(_))));
             pool.put_back(exchange.connection);
             addresses.push((address, seen));
-            assert!(pool.unused() <= POOL.total);
+            assert!(pool.idle_count() <= POOL.max_idle);
         }
-        assert_eq!(pool.unused(), POOL.total);
-        pool.forget(addresses[0].0);
-        assert_eq!(pool.unused(), POOL.total, "the oldest connections were closed already");
-        pool.forget(addresses[19].0);
-        assert_eq!(pool.unused(), POOL.total - 1);
+        assert_eq!(pool.idle_count(), POOL.max_idle);
+        pool.close_idle(addresses[0].0);
+        assert_eq!(pool.idle_count(), POOL.max_idle, "the oldest connections were closed already");
+        pool.close_idle(addresses[19].0);
+        assert_eq!(pool.idle_count(), POOL.max_idle - 1);
     }
 
     offered_body_is_sent_only_after_100_continue => {
@@ -1716,17 +1716,17 @@
         let exchange = pool.send(address, request, until).await.unwrap();
         assert_eq!(exchange.response.status(), 503);
         drop(exchange);
-        assert!(offer.take_back());
+        assert!(offer.withdraw());
         assert_eq!(rest.await.unwrap(), 0);
-        let (address, _phase) = serve(Whose::Others, Limits::default(), echo()).await;
+        let (address, _phase) = serve(ClientKind::Internal, Limits::default(), echo()).await;
         for length in [15 << 10, 200 << 10] {
             let request = Request::new(Body::whole(vec![b'x'; length]));
             let until = Instant::now() + Duration::from_secs(5);
             let (request, offer) = offer::offer(request);
             let exchange = pool.send(address, request, until).await.unwrap();
-            assert!(offer.is_taken() && !offer.take_back());
+            assert!(offer.is_accepted() && !offer.withdraw());
             let read = body::read(exchange.response.into_body(), 1 << 20, Duration::from_secs(5)).await;
-            let Ok(Read::Whole(bytes)) = read else { panic!("the response could not be read whole") };
+            let Ok(ReadResult::Whole(bytes)) = read else { panic!("the response could not be read whole") };
             assert_eq!(bytes.len(), "/=".len() + length);
             pool.put_back(exchange.connection);
         }
@@ -1734,18 +1734,18 @@
 
     concurrent_large_bodies_are_limited_by_the_link => {
         // 20 Mbit/s carry 183 KiB in 75 ms.
-        let narrow = Inflow::new(20);
-        let first = narrow.enter(Some(120 << 10)).await;
-        assert!(narrow.enter(Some(100 << 10)).now_or_never().is_none());
-        assert!(narrow.enter(None).now_or_never().is_none());
+        let narrow = UploadAdmission::new(20);
+        let first = narrow.wait_for_link(Some(120 << 10)).await;
+        assert!(narrow.wait_for_link(Some(100 << 10)).now_or_never().is_none());
+        assert!(narrow.wait_for_link(None).now_or_never().is_none());
         drop(first);
-        let second = narrow.enter(Some(100 << 10)).now_or_never();
+        let second = narrow.wait_for_link(Some(100 << 10)).now_or_never();
         assert!(second.is_some());
         drop(second);
         // A body larger than the whole limit is let in once it is alone.
-        assert!(narrow.enter(Some(10 << 20)).now_or_never().is_some());
-        let unknown = Inflow::new(0);
-        assert!(unknown.enter(Some(10 << 20)).now_or_never().is_some());
+        assert!(narrow.wait_for_link(Some(10 << 20)).now_or_never().is_some());
+        let unknown = UploadAdmission::new(0);
+        assert!(unknown.wait_for_link(Some(10 << 20)).now_or_never().is_some());
     }
 
     refused_connection_sent_nothing_and_a_broken_one_may_have => {
@@ -1760,10 +1760,10 @@
 }
 
 const POOL: pool::Settings = pool::Settings {
-    connect: Duration::from_secs(5),
-    keep: Duration::from_secs(60),
-    kept: 4,
-    total: 6,
+    connect_timeout: Duration::from_secs(5),
+    idle_timeout: Duration::from_secs(60),
+    max_idle_per_address: 4,
+    max_idle: 6,
 };
 
 async fn get(
