--- a/examples/capacity.rs
+++ b/examples/capacity.rs
@@ -256,7 +256,11 @@
         labels: Labels::new(),
     };
     let since = Instant::now();
-    let mut view = View::new(machine.version(), machine.set().clone(), proxy.clone());
+    let mut view = View::new(
+        machine.version(),
+        machine.resources().clone(),
+        proxy.clone(),
+    );
     series.add("view_whole", services, mean_micros(since, 1));
     series.add(
         "machine_and_view_memory",
@@ -275,7 +279,11 @@
         apply += mean_micros(since, 1);
         assert!(applied.verdict.is_accepted());
         let since = Instant::now();
-        view = view.next(machine.version(), machine.set().clone(), &applied.touched);
+        view = view.updated(
+            machine.version(),
+            machine.resources().clone(),
+            &applied.touched,
+        );
         project += mean_micros(since, 1);
     }
     series.add("apply", services, apply / changes as f64);
@@ -343,7 +351,7 @@
     series.add(
         "marks_bytes",
         targets,
-        wire::encode(&table.marks()).len() as f64,
+        wire::encode(&table.bucket_hashes()).len() as f64,
     );
     let since = Instant::now();
     let encoded = wire::encode(&all);
@@ -398,7 +406,9 @@
     let since = Instant::now();
     const DECISIONS: usize = 2000;
     for i in 0..DECISIONS {
-        let offers: Vec<Arc<Member>> = table.offers(&name(format!("s{}", i % services))).to_vec();
+        let offers: Vec<Arc<Member>> = table
+            .providers(&name(format!("s{}", i % services)))
+            .to_vec();
         let candidates: Vec<Candidate> = offers
             .iter()
             .map(|m| {
@@ -407,7 +417,7 @@
                     distance: if m.domain == domain {
                         Distance::Domain
                     } else {
-                        Distance::Beyond
+                        Distance::OtherRegion
                     },
                     cost,
                     is_ejected: ejected,
--- a/examples/fleet.rs
+++ b/examples/fleet.rs
@@ -35,7 +35,7 @@
 use serde_json::{Value, json};
 use support::{
     log::Log,
-    mesh::{self, Process, ready},
+    mesh::{self, Process, wait_until_ready},
 };
 
 /// Measures fleets of daemons.
@@ -147,14 +147,14 @@
     /// Waits until all daemons hold a complete view.
     async fn wait_until_ready(&self) {
         for process in &self.processes {
-            ready(&process.listen).await;
+            wait_until_ready(&process.listen).await;
         }
     }
 
     /// Waits until all daemons know each other.
     async fn wait_for_members(&self) {
         for process in &self.processes {
-            mesh::knows(&process.listen, self.processes.len()).await;
+            mesh::wait_for_members(&process.listen, self.processes.len()).await;
         }
     }
 
@@ -363,7 +363,7 @@
     )
     .await;
     for process in &fleet.processes {
-        mesh::reached(&process.listen, version).await;
+        mesh::wait_for_version(&process.listen, version).await;
     }
     // Membership updates of the start still spread for a while.
     tokio::time::sleep(Duration::from_secs(args.settle)).await;
@@ -520,7 +520,7 @@
         .map(|s| Process::start(&fleet.program, s))
         .collect();
     for process in &started {
-        ready(&process.listen).await;
+        wait_until_ready(&process.listen).await;
     }
     let ready_ms = start.elapsed().as_millis() as u64;
     let bytes = (loopback_bytes() - bytes) as f64 / indices.len().max(1) as f64;
--- a/examples/load.rs
+++ b/examples/load.rs
@@ -31,7 +31,7 @@
 use serde_json::{Value, json};
 use support::{
     log::Log,
-    mesh::{Process, attach, ops, processes, publish, reached},
+    mesh::{Process, attach, ops, processes, publish, wait_for_version},
     target::Target,
 };
 
@@ -292,7 +292,7 @@
         let listens: Vec<_> = nodes.iter().map(|node| &node.listen).collect();
         let mut targets = Vec::new();
         for node in &nodes {
-            reached(&node.listen, version).await;
+            wait_for_version(&node.listen, version).await;
             let target = Target::start(&node.name, "s");
             target.delay_ms.store(run_time_ms, Ordering::SeqCst);
             target.slots.store(slots as u64, Ordering::SeqCst);
--- a/examples/quickstart.rs
+++ b/examples/quickstart.rs
@@ -15,7 +15,7 @@
 use serde_json::json;
 use support::{
     log::Log,
-    mesh::{attach, knows, ops, publish, reached, ready},
+    mesh::{attach, ops, publish, wait_for_members, wait_for_version, wait_until_ready},
     target::Target,
 };
 
@@ -65,8 +65,8 @@
 /// Publishes a configuration, starts targets, sends requests and changes a label.
 async fn run_tour(daemons: &[Daemon]) -> Result<(), Box<dyn std::error::Error>> {
     for daemon in daemons {
-        ready(&daemon.listen).await;
-        knows(&daemon.listen, daemons.len()).await;
+        wait_until_ready(&daemon.listen).await;
+        wait_for_members(&daemon.listen, daemons.len()).await;
     }
     println!(
         "2. Daemons of {} found each other; each holds a complete view.",
@@ -75,7 +75,7 @@
 
     let at = daemons[0].listen.operators;
     let version = publish(at, "quickstart", mesh_ops()).await;
-    wait_for_version(daemons, version).await;
+    wait_for_all(daemons, version).await;
     println!("3. Version {version} is in force everywhere: balance lookups may go to all domains.");
 
     let all: Vec<_> = daemons.iter().map(|daemon| &daemon.listen).collect();
@@ -101,7 +101,7 @@
         }],
     )
     .await;
-    wait_for_version(daemons, version).await;
+    wait_for_all(daemons, version).await;
     println!("6. The label of one failure domain changed (version {version}): requests go to");
     println!("   {}", send_calls(daemons).await?);
     Ok(())
@@ -126,9 +126,9 @@
 }
 
 /// Waits until `version` is in force at all daemons.
-async fn wait_for_version(daemons: &[Daemon], version: Version) {
+async fn wait_for_all(daemons: &[Daemon], version: Version) {
     for daemon in daemons {
-        reached(&daemon.listen, version).await;
+        wait_for_version(&daemon.listen, version).await;
     }
 }
 
--- a/src/coordination/apply.rs
+++ b/src/coordination/apply.rs
@@ -228,7 +228,7 @@
     fn apply_records(&mut self, from: Version, records: Vec<Bytes>) -> Result<Version, Error> {
         let held = self.machine.version();
         if from.epoch != held.epoch || from.offset > held.offset {
-            return Err(crate::state::Error::Gap {
+            return Err(crate::state::Error::OffsetGap {
                 found: from.offset,
                 held,
             }
@@ -285,7 +285,7 @@
         if !self.is_complete {
             self.is_complete = true;
             self.put_in_force(None);
-            let (version, resources) = (self.machine.version(), self.machine.set().len());
+            let (version, resources) = (self.machine.version(), self.machine.resources().len());
             let details = format_args!("version={version} resources={resources}");
             self.node.journal.write(Event::Ready, details);
         }
@@ -312,10 +312,10 @@
         if !self.is_complete {
             return;
         }
-        let (version, set) = (self.machine.version(), self.machine.set().clone());
+        let (version, set) = (self.machine.version(), self.machine.resources().clone());
         let held = self.node.view.load_full();
         let next = match (held, touched) {
-            (Some(view), Some(touched)) => view.next(version, set, touched),
+            (Some(view), Some(touched)) => view.updated(version, set, touched),
             _ => View::new(version, set, self.proxy()),
         };
         self.node.view.store(Some(Arc::new(next)));
--- a/src/coordination/decision/balance.rs
+++ b/src/coordination/decision/balance.rs
@@ -332,7 +332,7 @@
             let has_target = targets.any(|t| t.service == *criteria.service && !t.draining);
             has_target && member.status == Status::Alive && is_allowed(member)
         };
-        let [before, near, after] = table.offers_around(criteria.service, criteria.domain);
+        let [before, near, after] = table.providers_by_domain(criteria.service, criteria.domain);
         let candidates = before.len() + near.len() + after.len();
         let mut is_eligible =
             |member: &Arc<Member>| serves(member) && !self.is_excluded(member, criteria.node, now);
@@ -367,7 +367,7 @@
         now: Instant,
     ) -> TargetCounts {
         let mut count = TargetCounts::default();
-        for member in table.offers(service) {
+        for member in table.providers(service) {
             let mut targets = member.targets.iter();
             let is_draining = targets.any(|t| t.service == *service && t.draining);
             count.known += 1;
--- a/src/coordination/decision/quarantine/recent.rs
+++ b/src/coordination/decision/quarantine/recent.rs
@@ -26,7 +26,7 @@
     pub fn note(&mut self, content: Fingerprint, now: Instant) {
         let since = *self.since.get_or_insert(now);
         self.slots.resize(SLOTS, (0, 0));
-        self.slots[content.place(SLOTS)] = (content.short(), seconds(now, since));
+        self.slots[content.index(SLOTS)] = (content.high_bits(), seconds(now, since));
     }
 
     /// Returns whether a target answered the request recently.
@@ -34,8 +34,8 @@
         let Some(since) = self.since else {
             return false;
         };
-        let (stored, at) = self.slots[content.place(SLOTS)];
-        stored == content.short() && seconds(now, since) - at < RECENT_SECONDS
+        let (stored, at) = self.slots[content.index(SLOTS)];
+        stored == content.high_bits() && seconds(now, since) - at < RECENT_SECONDS
     }
 }
 
--- a/src/coordination/decision/queue.rs
+++ b/src/coordination/decision/queue.rs
@@ -232,7 +232,7 @@
             Some(slack) if slack > until_free => until_free,
             _ => until_free + Duration::from_secs_f64(self.mean * RETRY_SPREAD_RUNS * spread),
         };
-        Span::of(wait).max(MIN_RETRY_AFTER)
+        Span::from_duration(wait).max(MIN_RETRY_AFTER)
     }
 
     fn has_free_slot(&self) -> bool {
--- a/src/coordination/decision/rollout/canary.rs
+++ b/src/coordination/decision/rollout/canary.rs
@@ -69,7 +69,7 @@
 /// the share were spread over all new targets, a release that fails only under load would
 /// pass.
 pub fn nodes(table: &Table, rollout: &Rollout, share: f64) -> Vec<Node> {
-    let offers = table.offers(&rollout.service);
+    let offers = table.providers(&rollout.service);
     let mut serving = 0;
     let mut candidates: Vec<(u64, &Arc<Member>)> = Vec::new();
     for member in offers {
--- a/src/coordination/flow.rs
+++ b/src/coordination/flow.rs
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub struct Flow {
     share: Arc<Mutex<LinkShare>>,
-    /// When the link will have transferred every body that [`Flow::enter`] let through.
+    /// When the link will have transferred every body that [`Flow::wait_for_link`] let through.
     free_at: tokio::sync::Mutex<Option<Instant>>,
 }
 
--- a/src/coordination/gossip.rs
+++ b/src/coordination/gossip.rs
@@ -262,7 +262,7 @@
             return;
         }
         let held = self.node.table.read().get(&member.node).cloned();
-        let Some(held) = held.filter(|held| held.stamp() == member.stamp()) else {
+        let Some(held) = held.filter(|held| held.precedence() == member.precedence()) else {
             return;
         };
         if matches!(held.status, Status::Alive | Status::Leaving) {
@@ -379,7 +379,7 @@
     /// Compares the whole member table with that of `peer` and exchanges the differences
     /// in both directions; returns whether `peer` answered.
     async fn sync_with(&self, peer: SocketAddr) -> bool {
-        let mine = self.node.table.read().marks().to_vec();
+        let mine = self.node.table.read().bucket_hashes().to_vec();
         let max_wait = Span::from_secs(2);
         let reply = (self.call)(peer, Frame::Sync(mine), max_wait).await;
         let Ok(Reply::Members { marks, members }) = reply else {
@@ -390,10 +390,10 @@
             let is_known = |m: &Member| {
                 members
                     .iter()
-                    .any(|other| other.node == m.node && other.stamp() >= m.stamp())
+                    .any(|other| other.node == m.node && other.precedence() >= m.precedence())
             };
             table
-                .differing(&marks)
+                .in_differing_buckets(&marks)
                 .into_iter()
                 .filter(|m| !is_known(m))
                 .map(|m| m.as_ref().clone())
--- a/src/coordination/host.rs
+++ b/src/coordination/host.rs
@@ -226,7 +226,7 @@
         let table = self.routes()?;
         let past_versions = self.past_versions.lock();
         let base = past_versions.iter().find(|past| past.version == base);
-        Some(table.since(base.map(AsRef::as_ref)))
+        Some(table.delta_since(base.map(AsRef::as_ref)))
     }
 
     /// Puts the version in `record` in force if it is newer than the current one.
@@ -250,7 +250,7 @@
         {
             return Ok(None);
         }
-        let delta = table.since(current.as_deref());
+        let delta = table.delta_since(current.as_deref());
         self.apply_routes(delta.clone(), from);
         Ok(Some(delta))
     }
@@ -265,7 +265,7 @@
         }
         let changed = delta.put.len() + delta.gone.len();
         // Versions share the routes that did not change.
-        let table = match routing::Table::after(current.as_deref(), delta) {
+        let table = match routing::Table::apply_delta(current.as_deref(), delta) {
             Ok(table) => table,
             Err(routing::Error::Base { .. }) => return false,
             Err(error) => {
@@ -568,7 +568,7 @@
                 .map_or(Duration::ZERO, |since| now - since),
             load: self.gate.load(),
             is_reader: *self.is_reading.borrow(),
-            dropped_lines: self.journal.lost(),
+            dropped_lines: self.journal.dropped(),
             members: (members.len() - unreachable, unreachable),
             quarantined: self.quarantine.quarantined(now).len(),
         })
--- a/src/coordination/local.rs
+++ b/src/coordination/local.rs
@@ -103,7 +103,7 @@
             return;
         };
         match &mut self.current {
-            Some(current) if current.target.instance.may_be(&target.instance) => {
+            Some(current) if current.target.instance.may_match(&target.instance) => {
                 current.target.draining |= target.draining;
                 current.target.verdict = current.target.verdict.or(target.verdict);
             }
@@ -115,7 +115,7 @@
             None => {
                 // The leave may have named the instance by its id alone, without its start.
                 let mut former = self.former.iter();
-                let has_left = former.any(|f| f.instance.may_be(&target.instance));
+                let has_left = former.any(|f| f.instance.may_match(&target.instance));
                 let mut target = target.clone();
                 target.draining |= has_left;
                 self.current = Some(Current::restored(target, now));
@@ -160,7 +160,7 @@
             verdict: None,
         };
         match &mut self.current {
-            Some(current) if current.target.instance.may_be(&heartbeat.instance) => {
+            Some(current) if current.target.instance.may_match(&heartbeat.instance) => {
                 current.last_heartbeat = Some(now);
                 if heartbeat.sequence < current.sequence {
                     return Change::Nothing;
@@ -194,7 +194,7 @@
     /// Records that an instance has left or is about to leave, and returns the effect.
     pub fn leave(&mut self, instance: &Instance) -> Change {
         match &mut self.current {
-            Some(current) if current.target.instance.may_be(instance) => {
+            Some(current) if current.target.instance.may_match(instance) => {
                 let was_draining = std::mem::replace(&mut current.target.draining, true);
                 if was_draining {
                     Change::Nothing
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -244,7 +244,7 @@
             // Only this node decides about its own record. A newer record from a
             // peer is either a suspicion of this incarnation or, if the clock was
             // set back in between, a record of an earlier incarnation.
-            if member.stamp() > self.me.lock().stamp() {
+            if member.precedence() > self.me.lock().precedence() {
                 self.refute(&member);
             }
             return false;
--- a/src/coordination/pick.rs
+++ b/src/coordination/pick.rs
@@ -39,7 +39,7 @@
 /// target below the spillover cost is chosen.
 pub fn pick(candidates: &[Candidate], rng: &mut Rng) -> Option<(usize, Reason)> {
     let mut cheapest: Option<usize> = None;
-    for distance in [Distance::Domain, Distance::Region, Distance::Beyond] {
+    for distance in [Distance::Domain, Distance::Region, Distance::OtherRegion] {
         let is_eligible = |c: &Candidate| c.distance == distance && !c.is_ejected;
         let tier: Vec<usize> = (0..candidates.len())
             .filter(|i| is_eligible(&candidates[*i]))
--- a/src/coordination/presence.rs
+++ b/src/coordination/presence.rs
@@ -110,7 +110,7 @@
 fn later_record(host: &Host, held: Option<&Member>) -> Option<Member> {
     let members = host.members.read();
     let known = members.get(&host.settings.node)?;
-    let is_later = held.is_some_and(|held| held.stamp() < known.stamp());
+    let is_later = held.is_some_and(|held| held.precedence() < known.precedence());
     is_later.then(|| known.as_ref().clone())
 }
 
--- a/src/coordination/publish.rs
+++ b/src/coordination/publish.rs
@@ -14,7 +14,7 @@
     protocol::operator::Published,
     state::{
         change::{Anchor, Change, Entry, Restore},
-        check::{Problem, Set},
+        check::{Problem, ResourceSet},
         machine::{Machine, Verdict},
         version::Version,
     },
@@ -134,7 +134,7 @@
 pub async fn check(node: &Arc<Node>, change: &Change) -> Result<Vec<Problem>, Error> {
     let ops = change.ops.clone();
     let check = move |machine: &Machine| {
-        let mut scratch = machine.set().as_ref().clone();
+        let mut scratch = machine.resources().as_ref().clone();
         scratch
             .apply(&ops, machine.version())
             .err()
@@ -207,7 +207,7 @@
     node: &Arc<Node>,
     log: &Log,
     version: Version,
-) -> Result<(Anchor, Arc<Set>), Error> {
+) -> Result<(Anchor, Arc<ResourceSet>), Error> {
     let expired = || {
         Error::Unexpected(format!(
             "the log: it no longer holds the records up to version {version}"
@@ -234,5 +234,5 @@
             }
         }
     }
-    Ok((machine.anchor(), machine.set().clone()))
+    Ok((machine.anchor(), machine.resources().clone()))
 }
--- a/src/coordination/quarantine.rs
+++ b/src/coordination/quarantine.rs
@@ -98,7 +98,7 @@
             .map(|(content, since, ends)| Quarantined {
                 content: *content,
                 ends,
-                since_ms: Span::of(now - since).as_millis(),
+                since_ms: Span::from_duration(now - since).as_millis(),
             });
         quarantined.collect()
     }
--- a/src/coordination/rollout/controller.rs
+++ b/src/coordination/rollout/controller.rs
@@ -163,7 +163,7 @@
     let from = || {
         let members = host.members.read();
         members
-            .main_release(&rollout.service, Some(&rollout.to))
+            .most_common_release(&rollout.service, Some(&rollout.to))
             .cloned()
     };
     let advanced = Rollout {
@@ -237,7 +237,7 @@
     let now = Instant::now();
     let members = host.members.read();
     let progress = |tracked: Tracked| Progress {
-        age_ms: Span::of(tracked.age).as_millis(),
+        age_ms: Span::from_duration(tracked.age).as_millis(),
         waits_for: judge::waits_for(&input(&members, &tracked)).into(),
         decides: *host.reading().borrow(),
         targets: new_targets(&members, &tracked.rollout),
@@ -252,7 +252,7 @@
 
 /// Returns the nodes beside targets of the new release, with their verdicts.
 fn new_targets(table: &Table, rollout: &Rollout) -> Vec<TrialTarget> {
-    let offers = table.offers(&rollout.service).iter();
+    let offers = table.providers(&rollout.service).iter();
     let new = offers.filter_map(|member| {
         let target = member.target(&rollout.service)?;
         let is_new = target.release.as_ref() == Some(&rollout.to);
@@ -278,7 +278,7 @@
 /// Counts the targets of an order's service.
 fn count_targets(table: &Table, rollout: &Rollout) -> TargetCounts {
     let mut counts = TargetCounts::default();
-    for member in table.offers(&rollout.service) {
+    for member in table.providers(&rollout.service) {
         let Some(target) = member.target(&rollout.service) else {
             continue;
         };
--- a/src/coordination/rollout/local.rs
+++ b/src/coordination/rollout/local.rs
@@ -71,7 +71,7 @@
 /// Returns the wall-clock time in milliseconds since 1970, or 0 if the clock is before that.
 pub fn unix_millis() -> u64 {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
-    elapsed.map_or(0, |elapsed| Span::of(elapsed).as_millis())
+    elapsed.map_or(0, |elapsed| Span::from_duration(elapsed).as_millis())
 }
 
 /// Returns the time that has passed since a wall-clock time in milliseconds since 1970.
--- a/src/coordination/rollout/mod.rs
+++ b/src/coordination/rollout/mod.rs
@@ -240,7 +240,7 @@
                 [Some(Subset::Trial(nodes)), from]
             }
             Stage::Ordered if from.is_none() => {
-                let main = table.main_release(service, Some(&rollout.to));
+                let main = table.most_common_release(service, Some(&rollout.to));
                 [main.cloned().map(Subset::Release), None]
             }
             Stage::Ordered | Stage::Trial | Stage::RolledBack => [from, None],
@@ -355,9 +355,9 @@
 /// that most of the service's targets have. Targets of another release may be there already,
 /// before this node learns of the order that names their release.
 fn without_order(service: &Name, table: &Table) -> Subset {
-    if !table.has_releases(service) {
+    if !table.has_several_releases(service) {
         return Subset::All;
     }
-    let main = table.main_release(service, None).cloned();
+    let main = table.most_common_release(service, None).cloned();
     main.map_or(Subset::All, Subset::Release)
 }
--- a/src/coordination/source.rs
+++ b/src/coordination/source.rs
@@ -426,7 +426,7 @@
     if Some(progress.members) <= host.offset(Stream::Members) {
         return;
     }
-    let marks = host.members.read().marks().to_vec();
+    let marks = host.members.read().bucket_hashes().to_vec();
     if let Ok(answer) = call_peer(peer, PeerRequest::Members(marks)).await {
         apply_members_answer(host, &answer);
     }
@@ -558,7 +558,7 @@
     Some(encoded.into())
 }
 
-/// Returns the members that differ from a table with these marks, as MessagePack.
+/// Returns the members that differ from a table with these bucket hashes, as MessagePack.
 ///
 /// While a fleet recovers from a loss of power, every node is constantly a little behind
 /// some other node. With all members in every answer, 295 nodes sent 0.399 GB between
@@ -566,7 +566,7 @@
 pub fn members(host: &Host, marks: &[u32]) -> Bytes {
     let at = host.offset(Stream::Members).unwrap_or(0);
     let members = host.members.read();
-    let differing = members.differing(marks);
+    let differing = members.in_differing_buckets(marks);
     let answer = Members {
         at,
         members: differing
--- a/src/document.rs
+++ b/src/document.rs
@@ -38,7 +38,7 @@
     /// The path of the field, joined by dots; empty for the whole document.
     pub field: String,
     /// What is wrong and, if not obvious, how to correct it.
-    pub what: String,
+    pub message: String,
 }
 
 impl fmt::Display for Fault {
@@ -47,7 +47,7 @@
         if !self.field.is_empty() {
             write!(f, "`{}`: ", self.field)?;
         }
-        f.write_str(&self.what)
+        f.write_str(&self.message)
     }
 }
 
@@ -65,7 +65,7 @@
             file: name.clone(),
             line: 0,
             field: String::new(),
-            what: format!("cannot be read: {error}"),
+            message: format!("cannot be read: {error}"),
         })?;
         Self::parse(&name, &text)
     }
@@ -88,7 +88,7 @@
                 file: name.into(),
                 line: line_number(text, error.range().start),
                 field: String::new(),
-                what: format!("is not JSON: {}", error.kind()),
+                message: format!("is not JSON: {}", error.kind()),
             }),
         }
     }
@@ -119,7 +119,7 @@
             file: self.name.clone(),
             line: self.line(path),
             field: path.join("."),
-            what: message.into(),
+            message: message.into(),
         }
     }
 
--- a/src/files.rs
+++ b/src/files.rs
@@ -9,7 +9,7 @@
     document::{Document, Fault},
     state::{
         change::Op,
-        check::{Problem, Set},
+        check::{Problem, ResourceSet},
         resource::{Key, Kind, Resource},
         version::Version,
     },
@@ -49,7 +49,7 @@
     /// # Errors
     ///
     /// All faults that can be found in the files alone.
-    pub fn read_part(paths: &[PathBuf]) -> Result<Self, Vec<Fault>> {
+    pub fn read_partial(paths: &[PathBuf]) -> Result<Self, Vec<Fault>> {
         let (documents, faults) = read_documents(paths);
         let (files, faults) = Self::decode_all(documents, faults);
         ok_if_faultless(files, faults)
@@ -89,7 +89,7 @@
     /// # Errors
     ///
     /// All faults of decoding.
-    pub fn parse_only(document: &Document) -> Result<Vec<Resource>, Vec<Fault>> {
+    pub fn decode_resources(document: &Document) -> Result<Vec<Resource>, Vec<Fault>> {
         let mut files = Self {
             documents: vec![document.clone()],
             entries: Vec::new(),
@@ -136,9 +136,11 @@
 
     /// Checks the resources as a whole configuration.
     fn check_as_whole(&self, faults: &mut Vec<Fault>) {
-        let problems = Set::default().apply(&self.ops(), Version::default()).err();
+        let problems = ResourceSet::default()
+            .apply(&self.ops(), Version::default())
+            .err();
         let problems = problems.unwrap_or_default();
-        faults.extend(problems.iter().filter_map(|problem| self.place(problem)));
+        faults.extend(problems.iter().filter_map(|problem| self.locate(problem)));
     }
 
     /// Returns a fault at a field of `entry`, or at the whole entry if `field` is empty.
@@ -153,7 +155,7 @@
 
     /// Returns `problem` as a fault with its file and line, or `None` if it is
     /// not about a resource of these files.
-    pub fn place(&self, problem: &Problem) -> Option<Fault> {
+    pub fn locate(&self, problem: &Problem) -> Option<Fault> {
         let entry = self
             .entries
             .iter()
@@ -183,7 +185,7 @@
     ///
     /// Returns none if the resources have faults as a whole configuration.
     pub fn warnings(&self) -> Vec<Fault> {
-        let mut set = Set::default();
+        let mut set = ResourceSet::default();
         if set.apply(&self.ops(), Version::default()).is_err() {
             return Vec::new();
         }
--- a/src/id.rs
+++ b/src/id.rs
@@ -240,7 +240,7 @@
 
     /// Returns whether both may be the same instance: the ids are equal, and so are the
     /// start times if both are known.
-    pub fn may_be(&self, other: &Self) -> bool {
+    pub fn may_match(&self, other: &Self) -> bool {
         let may_have_same_start = match (self.born, other.born) {
             (Some(start), Some(other_start)) => start == other_start,
             _ => true,
--- a/src/journal.rs
+++ b/src/journal.rs
@@ -201,7 +201,7 @@
     }
 
     /// Returns the number of lines dropped so far.
-    pub fn lost(&self) -> u64 {
+    pub fn dropped(&self) -> u64 {
         self.shared.dropped.load(Ordering::Relaxed)
     }
 
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -18,7 +18,7 @@
 pub struct Metrics {
     registry: Registry,
     /// Requests by outcome.
-    pub requests: Family<Fate, Counter<u64, AtomicU64>>,
+    pub requests: Family<RequestLabels, Counter<u64, AtomicU64>>,
     /// Seconds from the arrival of a request to the start of its answer.
     pub latency: Histogram,
     /// Attempts after the first one of a request.
@@ -40,12 +40,12 @@
     /// Number of members that this node knows.
     pub members: Gauge<i64, AtomicI64>,
     /// Number of log lines dropped.
-    pub lines_lost: Gauge<i64, AtomicI64>,
+    pub dropped_lines: Gauge<i64, AtomicI64>,
 }
 
 /// The label of a request's metric.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, EncodeLabelSet)]
-pub struct Fate {
+pub struct RequestLabels {
     /// The outcome, as reported to the caller.
     pub outcome: String,
 }
@@ -86,7 +86,7 @@
             log_appends: Counter::default(),
             version: Gauge::default(),
             members: Gauge::default(),
-            lines_lost: Gauge::default(),
+            dropped_lines: Gauge::default(),
         };
         metrics.register();
         metrics
@@ -141,7 +141,11 @@
             self.version.clone(),
         );
         registry.register("members", "Members known", self.members.clone());
-        registry.register("log_lines_lost", "Log lines lost", self.lines_lost.clone());
+        registry.register(
+            "log_lines_lost",
+            "Log lines lost",
+            self.dropped_lines.clone(),
+        );
     }
 
     /// Returns the metrics in the OpenMetrics text format.
--- a/src/protocol/operator.rs
+++ b/src/protocol/operator.rs
@@ -9,7 +9,7 @@
     protocol::wire::VersionCount,
     state::{
         change::{Anchor, Change},
-        check::{Held, Problem},
+        check::{Problem, StoredResource},
         fingerprint::Fingerprint,
         machine::{Outcome, Verdict},
         member::{Status, Target},
@@ -127,7 +127,7 @@
     /// The state that the resources belong to.
     pub anchor: Anchor,
     /// The resources.
-    pub held: Vec<Held>,
+    pub held: Vec<StoredResource>,
 }
 
 /// The answer to `GET /history`.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -284,7 +284,7 @@
                 file: "settings".into(),
                 line: 0,
                 field: path.join("."),
-                what: message.into(),
+                message: message.into(),
             }),
         }
     }
--- a/src/state/change.rs
+++ b/src/state/change.rs
@@ -17,7 +17,7 @@
 ///
 /// All nodes must make the same decisions, so a node that reads a record of newer
 /// rules stops there and keeps serving its current version until it is upgraded.
-pub const RULES: u32 = 1;
+pub const RULES_VERSION: u32 = 1;
 
 /// The first two bytes of each record of this system, which distinguish it from other
 /// records in the log.
@@ -107,7 +107,7 @@
     /// Returns the record that contains this entry.
     pub fn encode(&self) -> Bytes {
         let mut bytes = MAGIC.to_vec();
-        bytes.extend(RULES.to_be_bytes());
+        bytes.extend(RULES_VERSION.to_be_bytes());
         // Fields are written by name, so that a later version can add fields.
         let body = rmp_serde::to_vec_named(self);
         bytes.extend(body.expect("plain data always encodes"));
@@ -118,7 +118,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Rules`] if the record needs a newer program; the node must stop before
+    /// [`Error::UnsupportedRules`] if the record needs a newer program; the node must stop before
     /// this record. [`Error::Decode`] if this system did not write the record; every
     /// node skips it.
     pub fn decode(record: &[u8]) -> Result<Self, Error> {
@@ -129,10 +129,10 @@
             return Err(foreign_record());
         };
         let found = u32::from_be_bytes(*rules);
-        if found > RULES {
-            return Err(Error::Rules {
+        if found > RULES_VERSION {
+            return Err(Error::UnsupportedRules {
                 found,
-                known: RULES,
+                known: RULES_VERSION,
             });
         }
         rmp_serde::from_slice(body).map_err(|source| Error::Decode {
--- a/src/state/check.rs
+++ b/src/state/check.rs
@@ -25,13 +25,13 @@
 ///
 /// A clone copies one pointer for each resource; the resources are shared.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Set {
-    held: BTreeMap<Key, Arc<Held>>,
+pub struct ResourceSet {
+    held: BTreeMap<Key, Arc<StoredResource>>,
 }
 
 /// A resource and the version that last changed it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Held {
+pub struct StoredResource {
     /// The resource.
     pub resource: Resource,
     /// The version of the last change to the resource.
@@ -70,7 +70,7 @@
     }
 }
 
-impl Set {
+impl ResourceSet {
     /// Returns the number of resources.
     pub fn len(&self) -> usize {
         self.held.len()
@@ -82,12 +82,12 @@
     }
 
     /// Returns a resource and the version that last changed it.
-    pub fn get(&self, key: &Key) -> Option<&Held> {
+    pub fn get(&self, key: &Key) -> Option<&StoredResource> {
         self.held.get(key).map(AsRef::as_ref)
     }
 
     /// Returns all resources in the order of their keys.
-    pub fn iter(&self) -> impl Iterator<Item = &Held> {
+    pub fn iter(&self) -> impl Iterator<Item = &StoredResource> {
         self.held.values().map(AsRef::as_ref)
     }
 
@@ -215,7 +215,8 @@
                 resource
             }
         };
-        self.held.insert(key, Arc::new(Held { resource, modified }));
+        self.held
+            .insert(key, Arc::new(StoredResource { resource, modified }));
         Ok(())
     }
 
@@ -269,7 +270,7 @@
                     ("to", &boundary.to),
                 ];
                 for (field, selector) in selectors {
-                    if let Some(what) = selector.problem() {
+                    if let Some(what) = selector.fault() {
                         add(field, what.into());
                     }
                 }
@@ -288,7 +289,7 @@
                         "must be written in capitals, for example `GET`".into(),
                     );
                 }
-                if let Some(what) = route.proxies.problem() {
+                if let Some(what) = route.proxies.fault() {
                     add("proxies", what.into());
                 }
                 if self.service(&route.service).is_none() {
@@ -411,7 +412,7 @@
 }
 
 impl Touched {
-    fn between(old: &Set, new: &Set, ops: &[Op]) -> Self {
+    fn between(old: &ResourceSet, new: &ResourceSet, ops: &[Op]) -> Self {
         let keys: BTreeSet<Key> = ops.iter().map(Op::key).collect();
         let mut services = BTreeSet::new();
         let has_domain = keys.iter().any(|key| key.kind == Kind::Domain);
@@ -429,7 +430,7 @@
     }
 }
 
-impl Set {
+impl ResourceSet {
     /// Adds the services that the resource `key` affects.
     fn add_affected_services(&self, key: &Key, services: &mut BTreeSet<Name>) {
         let Some(stored) = self.get(key) else { return };
--- a/src/state/fingerprint.rs
+++ b/src/state/fingerprint.rs
@@ -51,13 +51,13 @@
 }
 
 impl Fingerprint {
-    /// Returns the upper half of the bits, which [`Fingerprint::place`] does not use.
-    pub fn short(&self) -> u64 {
+    /// Returns the upper half of the bits, which [`Fingerprint::index`] does not use.
+    pub fn high_bits(&self) -> u64 {
         (self.0 >> 64) as u64
     }
 
     /// Returns its index in a table with `places` entries.
-    pub fn place(&self, places: usize) -> usize {
+    pub fn index(&self, places: usize) -> usize {
         self.0 as u64 as usize % places.max(1)
     }
 }
--- a/src/state/machine.rs
+++ b/src/state/machine.rs
@@ -17,8 +17,8 @@
     id,
     state::{
         Error,
-        change::{Anchor, Change, Entry, RULES, Restore},
-        check::{Problem, Set, Touched},
+        change::{Anchor, Change, Entry, RULES_VERSION, Restore},
+        check::{Problem, ResourceSet, Touched},
         resource::Key,
         version::Version,
     },
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 pub struct Machine {
     core: Core,
-    set: Arc<Set>,
+    resources: Arc<ResourceSet>,
     /// The most recent records, oldest first.
     recent: VecDeque<Bytes>,
     /// The total size of `recent`.
@@ -143,7 +143,7 @@
     pub fn new() -> Self {
         Self {
             core: Core::default(),
-            set: Arc::default(),
+            resources: Arc::default(),
             recent: VecDeque::new(),
             recent_bytes: 0,
             cached_snapshot: OnceLock::new(),
@@ -161,13 +161,13 @@
     }
 
     /// Returns the version of the last accepted change.
-    pub fn accepted(&self) -> Version {
+    pub fn last_accepted(&self) -> Version {
         self.core.accepted
     }
 
     /// Returns the resources in force.
-    pub fn set(&self) -> &Arc<Set> {
-        &self.set
+    pub fn resources(&self) -> &Arc<ResourceSet> {
+        &self.resources
     }
 
     /// Returns the outcomes still remembered, oldest first.
@@ -203,18 +203,18 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Gap`] if the record is not the next one and [`Error::Rules`]
+    /// [`Error::OffsetGap`] if the record is not the next one and [`Error::UnsupportedRules`]
     /// if it needs a newer program. The state is unchanged in both cases.
     pub fn apply(&mut self, offset: u64, record: Bytes) -> Result<Applied, Error> {
         let current = self.version();
         if offset != current.offset {
-            return Err(Error::Gap {
+            return Err(Error::OffsetGap {
                 found: offset,
                 held: current,
             });
         }
         let entry = match Entry::decode(&record) {
-            Err(error @ Error::Rules { .. }) => return Err(error),
+            Err(error @ Error::UnsupportedRules { .. }) => return Err(error),
             other => other.ok(),
         };
         let version = current.after(offset);
@@ -257,7 +257,7 @@
         let mut touched = Touched::default();
         let verdict = match self.check_preconditions(&change) {
             Some(verdict) => verdict,
-            None => match Arc::make_mut(&mut self.set).apply(&change.ops, version) {
+            None => match Arc::make_mut(&mut self.resources).apply(&change.ops, version) {
                 Ok(result) => {
                     touched = result;
                     self.core.accepted = version;
@@ -289,7 +289,7 @@
         }
         let expect = change.expect?;
         let changed_since = |key: &Key| {
-            self.set
+            self.resources
                 .get(key)
                 .is_some_and(|stored| stored.modified > expect)
         };
@@ -317,7 +317,7 @@
             .filter(move |o| o.version > expect && o.verdict.is_accepted());
         let deleted = later
             .flat_map(|o| &o.keys)
-            .filter(|key| self.set.get(key).is_none());
+            .filter(|key| self.resources.get(key).is_none());
         deleted
             .filter(|key| change.ops.iter().any(|op| op.key() == **key))
             .cloned()
@@ -379,9 +379,9 @@
 
     fn encode(&self) -> Bytes {
         let body = rmp_serde::to_vec_named(&Snapshot {
-            rules: RULES,
+            rules: RULES_VERSION,
             core: self.core.clone(),
-            set: self.set.as_ref().clone(),
+            set: self.resources.as_ref().clone(),
         })
         .expect("plain data always encodes");
         let mut bytes = blake3::hash(&body).as_bytes().to_vec();
@@ -393,7 +393,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Checksum`], [`Error::Decode`] or [`Error::Rules`] if the
+    /// [`Error::Checksum`], [`Error::Decode`] or [`Error::UnsupportedRules`] if the
     /// snapshot is damaged or needs a newer program. A damaged snapshot is never
     /// used in part.
     pub fn from_snapshot(bytes: &[u8]) -> Result<Self, Error> {
@@ -405,15 +405,15 @@
             what: "snapshot",
             source,
         })?;
-        if snapshot.rules > RULES {
-            return Err(Error::Rules {
+        if snapshot.rules > RULES_VERSION {
+            return Err(Error::UnsupportedRules {
                 found: snapshot.rules,
-                known: RULES,
+                known: RULES_VERSION,
             });
         }
         let mut machine = Self::new();
         machine.core = snapshot.core;
-        machine.set = Arc::new(snapshot.set);
+        machine.resources = Arc::new(snapshot.set);
         Ok(machine)
     }
 }
@@ -422,7 +422,7 @@
 struct Snapshot {
     rules: u32,
     core: Core,
-    set: Set,
+    set: ResourceSet,
 }
 
 fn skipped(verdict: Verdict) -> Applied {
--- a/src/state/member.rs
+++ b/src/state/member.rs
@@ -111,7 +111,7 @@
 impl Member {
     /// Returns the precedence of the report: of two reports about a node, the one
     /// with the greater value is newer.
-    pub fn stamp(&self) -> (Incarnation, u64, Status) {
+    pub fn precedence(&self) -> (Incarnation, u64, Status) {
         (self.incarnation, self.sequence, self.status)
     }
 
@@ -122,7 +122,7 @@
 
     /// Returns the hash by which tables compare this report.
     fn hash(&self) -> u32 {
-        let (incarnation, sequence, status) = self.stamp();
+        let (incarnation, sequence, status) = self.precedence();
         xxh3_64(format!("{} {incarnation} {sequence} {status:?}", self.node).as_bytes()) as u32
     }
 
@@ -169,7 +169,7 @@
     /// Returns whether it was stored.
     pub fn merge(&mut self, member: Member) -> bool {
         let stored = self.members.get(&member.node);
-        if stored.is_some_and(|stored| stored.stamp() >= member.stamp()) {
+        if stored.is_some_and(|stored| stored.precedence() >= member.precedence()) {
             return false;
         }
         if let Some(old) = stored.cloned() {
@@ -231,7 +231,11 @@
     ///
     /// Of several with the same number it returns the first by name, so that all
     /// nodes that know the same members agree.
-    pub fn main_release(&self, service: &Name, excluded: Option<&Release>) -> Option<&Release> {
+    pub fn most_common_release(
+        &self,
+        service: &Name,
+        excluded: Option<&Release>,
+    ) -> Option<&Release> {
         let counts = self.releases.get(service)?.iter();
         let others = counts.filter(|(release, _)| Some(*release) != excluded);
         let most = others.rev().max_by_key(|(_, count)| **count);
@@ -239,7 +243,7 @@
     }
 
     /// Returns whether the targets of a service are of more than one release.
-    pub fn has_releases(&self, service: &Name) -> bool {
+    pub fn has_several_releases(&self, service: &Name) -> bool {
         self.releases
             .get(service)
             .is_some_and(|counts| counts.len() > 1)
@@ -267,15 +271,15 @@
 
     /// Returns the members that have a target of `service`, ordered by failure
     /// domain.
-    pub fn offers(&self, service: &Name) -> &[Arc<Member>] {
+    pub fn providers(&self, service: &Name) -> &[Arc<Member>] {
         self.offers.get(service).map_or(&[], Vec::as_slice)
     }
 
     /// Returns the members that have a target of `service`, in three parts: those of
     /// failure domains ordered before `domain`, those in `domain`, and those of failure
     /// domains ordered after it.
-    pub fn offers_around(&self, service: &Name, domain: &Name) -> [&[Arc<Member>]; 3] {
-        let offers = self.offers(service);
+    pub fn providers_by_domain(&self, service: &Name, domain: &Name) -> [&[Arc<Member>]; 3] {
+        let offers = self.providers(service);
         let start = offers.partition_point(|member| member.domain < *domain);
         let (before, rest) = offers.split_at(start);
         let (within, after) = rest.split_at(rest.partition_point(|m| m.domain == *domain));
@@ -284,13 +288,13 @@
 
     /// Returns one hash for each bucket. Two tables have the same members in a
     /// bucket if its hashes are equal.
-    pub fn marks(&self) -> &[u32] {
+    pub fn bucket_hashes(&self) -> &[u32] {
         &self.bucket_hashes
     }
 
     /// Returns the members in the buckets whose hash differs from the one in
     /// `hashes`.
-    pub fn differing(&self, hashes: &[u32]) -> Vec<&Arc<Member>> {
+    pub fn in_differing_buckets(&self, hashes: &[u32]) -> Vec<&Arc<Member>> {
         let differs = |node: &Node| {
             let bucket = bucket(node);
             hashes.get(bucket) != Some(&self.bucket_hashes[bucket])
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -47,7 +47,7 @@
     /// A record or snapshot needs a newer version of the rules than this
     /// program has.
     #[error("written under rules {found}, this version knows up to {known}")]
-    Rules {
+    UnsupportedRules {
         /// The rules version it was written under.
         found: u32,
         /// The newest rules version of this program.
@@ -55,7 +55,7 @@
     },
     /// A record's offset is not the next one for this state.
     #[error("record at {found} does not continue version {held}")]
-    Gap {
+    OffsetGap {
         /// The offset of the record.
         found: u64,
         /// The version of the state.
--- a/src/state/routing.rs
+++ b/src/state/routing.rs
@@ -134,7 +134,7 @@
 pub enum Error {
     /// A route refers to a service that is not listed.
     #[error("route {route}: no service {service}")]
-    Service {
+    UnknownService {
         /// The route.
         route: Name,
         /// The unlisted service.
@@ -142,7 +142,7 @@
     },
     /// A value is out of bounds.
     #[error("route {route}: {what}")]
-    Bounds {
+    InvalidValue {
         /// The route.
         route: Name,
         /// What is wrong.
@@ -161,7 +161,7 @@
     },
     /// Two routes have the same host and prefix.
     #[error("routes {one} and {other} have the same host and prefix")]
-    Twice {
+    DuplicateMatch {
         /// The name of the first route.
         one: Name,
         /// The name of the second route.
@@ -213,7 +213,7 @@
             route.check(&services)?;
             let prefixes = hosts.entry(route.host.clone()).or_default();
             if let Some(one) = prefixes.insert(route.prefix.clone(), route.clone()) {
-                return Err(Error::Twice {
+                return Err(Error::DuplicateMatch {
                     one: one.name.clone(),
                     other: route.name.clone(),
                 });
@@ -233,7 +233,7 @@
     ///
     /// A version of hundreds of routes mostly repeats the previous one, and slow
     /// links can't carry complete versions several times a second.
-    pub fn since(&self, base: Option<&Self>) -> Delta {
+    pub fn delta_since(&self, base: Option<&Self>) -> Delta {
         let in_base = |name: &Name| base.and_then(|base| base.routes.get(name));
         let put = self
             .routes
@@ -257,7 +257,7 @@
     ///
     /// If the change applies to another version, or the resulting routes are
     /// invalid.
-    pub fn after(current: Option<&Self>, delta: Delta) -> Result<Self, Error> {
+    pub fn apply_delta(current: Option<&Self>, delta: Delta) -> Result<Self, Error> {
         let mut routes = match current {
             _ if delta.base == 0 => BTreeMap::new(),
             Some(current) if current.version == delta.base => current.routes.clone(),
@@ -315,7 +315,7 @@
     fn check(&self, services: &[Name]) -> Result<(), Error> {
         let unknown = self.parts.iter().find(|p| !services.contains(&p.service));
         if let Some(part) = unknown {
-            return Err(Error::Service {
+            return Err(Error::UnknownService {
                 route: self.name.clone(),
                 service: part.service.clone(),
             });
@@ -334,7 +334,7 @@
         ];
         match faults.into_iter().find(|(is_fault, _)| *is_fault) {
             None => Ok(()),
-            Some((_, what)) => Err(Error::Bounds {
+            Some((_, what)) => Err(Error::InvalidValue {
                 route: self.name.clone(),
                 what,
             }),
--- a/src/state/selector.rs
+++ b/src/state/selector.rs
@@ -9,7 +9,7 @@
 
 /// A condition on labels.
 ///
-/// All of its parts must match. [`Selector::problem`] reports a selector without
+/// All of its parts must match. [`Selector::fault`] reports a selector without
 /// any part as invalid: in most systems an empty selector selects everything, and
 /// an omitted line would then widen a boundary. To select everything, write
 /// `"all": true`.
@@ -84,7 +84,7 @@
     }
 
     /// Returns why the selector is invalid, or `None` if it is valid.
-    pub fn problem(&self) -> Option<&'static str> {
+    pub fn fault(&self) -> Option<&'static str> {
         let parts = self.match_labels.len() + self.match_expressions.len();
         match (self.all, parts) {
             (false, 0) => Some("selects by nothing; write \"all\": true to select everything"),
--- a/src/state/view.rs
+++ b/src/state/view.rs
@@ -12,7 +12,7 @@
 use crate::{
     id::Name,
     state::{
-        check::{Set, Touched},
+        check::{ResourceSet, Touched},
         resource::{Boundary, Key, Kind, Policy, Resource, Route},
         selector::Labels,
         version::Version,
@@ -39,7 +39,7 @@
     /// The proxy for which it was built.
     pub proxy: Proxy,
     /// All resources, for questions about other proxies.
-    pub set: Arc<Set>,
+    pub resources: Arc<ResourceSet>,
     routes: BTreeMap<Name, Arc<Route>>,
     /// The routes, most specific first.
     by_specificity: Vec<Arc<Route>>,
@@ -66,7 +66,7 @@
     /// Another failure domain with the same `region` label.
     Region,
     /// A failure domain of another region, or one of the two has no region.
-    Beyond,
+    OtherRegion,
 }
 
 /// The label key of the region of a failure domain. Failure domains of the same
@@ -75,7 +75,7 @@
 
 impl View {
     /// Returns the view of `proxy`, built from all resources.
-    pub fn new(version: Version, set: Arc<Set>, proxy: Proxy) -> Self {
+    pub fn new(version: Version, set: Arc<ResourceSet>, proxy: Proxy) -> Self {
         let touched = Touched {
             keys: set.iter().map(|stored| stored.resource.key()).collect(),
             services: set.services().map(|s| s.name.clone()).collect(),
@@ -83,19 +83,19 @@
         let empty = Self {
             version: Version::default(),
             proxy,
-            set: Arc::default(),
+            resources: Arc::default(),
             routes: BTreeMap::new(),
             by_specificity: Vec::new(),
             services: BTreeMap::new(),
         };
-        empty.next(version, set, &touched)
+        empty.updated(version, set, &touched)
     }
 
     /// Returns the view of a later version, which differs in what `touched` names.
-    pub fn next(&self, version: Version, set: Arc<Set>, touched: &Touched) -> Self {
+    pub fn updated(&self, version: Version, set: Arc<ResourceSet>, touched: &Touched) -> Self {
         let mut next = Self {
             version,
-            set,
+            resources: set,
             ..self.clone()
         };
         let mut has_route_changes = false;
@@ -120,7 +120,7 @@
 
     /// Updates the route `key`. Returns whether the routes may have changed.
     fn project_route(&mut self, key: &Key) -> bool {
-        let found = match self.set.get(key).map(|stored| &stored.resource) {
+        let found = match self.resources.get(key).map(|stored| &stored.resource) {
             Some(Resource::Route(route)) if route.proxies.matches(&self.proxy.labels) => {
                 Some(route.clone())
             }
@@ -150,9 +150,12 @@
     }
 
     fn build_service(&self, name: &Name) -> Option<Service> {
-        let policy = self.set.policy(&self.set.service(name)?.policy)?.clone();
-        let allowed = allowed(
-            &self.set,
+        let policy = self
+            .resources
+            .policy(&self.resources.service(name)?.policy)?
+            .clone();
+        let allowed = allowed_domains(
+            &self.resources,
             name,
             &self.proxy.domain,
             Some(&self.proxy.labels),
@@ -167,12 +170,12 @@
     }
 
     fn distance(&self, to: &Name) -> Distance {
-        let region = |name: &Name| self.set.domain(name)?.labels.get(REGION);
+        let region = |name: &Name| self.resources.domain(name)?.labels.get(REGION);
         let own_region = region(&self.proxy.domain);
         match *to == self.proxy.domain {
             true => Distance::Domain,
             false if own_region.is_some() && own_region == region(to) => Distance::Region,
-            false => Distance::Beyond,
+            false => Distance::OtherRegion,
         }
     }
 
@@ -225,7 +228,12 @@
 /// Without `labels`, because the proxy is not known yet, every boundary that might
 /// apply is taken to apply, so that missing labels can only make the result
 /// stricter.
-pub fn allowed(set: &Set, service: &Name, from: &Name, labels: Option<&Labels>) -> BTreeSet<Name> {
+pub fn allowed_domains(
+    set: &ResourceSet,
+    service: &Name,
+    from: &Name,
+    labels: Option<&Labels>,
+) -> BTreeSet<Name> {
     let (Some(service), Some(sender)) = (set.service(service), set.domain(from)) else {
         return BTreeSet::new();
     };
--- a/src/tool/mod.rs
+++ b/src/tool/mod.rs
@@ -382,14 +382,14 @@
 }
 
 async fn diff(client: &DaemonClient, args: &DiffArgs) -> CommandResult {
-    let files = read(&args.files, Files::read_part)?;
+    let files = read(&args.files, Files::read_partial)?;
     let current: Resources = client.get("resources").await?;
     let difference = Difference::between(&files, current.held.iter().map(|held| &held.resource));
     show::difference(&difference, current.anchor.version, client.json)
 }
 
 async fn publish(client: &DaemonClient, args: PublishArgs) -> CommandResult {
-    let files = read(&args.files, Files::read_part)?;
+    let files = read(&args.files, Files::read_partial)?;
     let current: Resources = client.get("resources").await?;
     let difference = Difference::between(&files, current.held.iter().map(|held| &held.resource));
     let changed = |key: &Key| difference.added.contains(key) || difference.changed.contains(key);
--- a/src/tool/show.rs
+++ b/src/tool/show.rs
@@ -220,7 +220,7 @@
         Verdict::Invalid(problems) => {
             let problem_text = |p| {
                 files
-                    .and_then(|files| files.place(p))
+                    .and_then(|files| files.locate(p))
                     .map_or_else(|| format!("{p}"), |f| f.to_string())
             };
             let lines: Vec<String> = problems.iter().map(problem_text).collect();
--- a/src/tool/trace.rs
+++ b/src/tool/trace.rs
@@ -21,9 +21,9 @@
     /// The lines about the request; in order of time after [`Self::sort`].
     pub lines: Vec<Map<String, Value>>,
     /// Number of lines read.
-    pub read: usize,
+    pub lines_read: usize,
     /// Number of lines that are not rilltrack events, such as truncated ones.
-    pub passed_over: usize,
+    pub skipped: usize,
 }
 
 /// Prints the lines of `files` about the request `id`.
@@ -53,7 +53,7 @@
     }
     eprintln!(
         "{} lines read, {} passed over",
-        trace.read, trace.passed_over
+        trace.lines_read, trace.skipped
     );
     if trace.lines.is_empty() {
         let message = format!("no line names request {id} in {} files", files.len());
@@ -68,23 +68,23 @@
         let failure = |error| Failure::new(Code::Usage, format!("{}: {error}", path.display()));
         let file = File::open(path).map_err(failure)?;
         for line in BufReader::new(file).split(b'\n') {
-            self.take(&line.map_err(failure)?, id);
+            self.add_line(&line.map_err(failure)?, id);
         }
         Ok(())
     }
 
     /// Adds a line if it is about the request `id`, or about a call that a target made while
     /// it ran the request: the id of such a call is the request's id, a dot and a suffix.
-    pub fn take(&mut self, line: &[u8], id: &str) {
+    pub fn add_line(&mut self, line: &[u8], id: &str) {
         if line.is_empty() {
             return;
         }
-        self.read += 1;
+        self.lines_read += 1;
         // A log collector may put a prefix before the JSON object.
         let start = line.iter().position(|byte| *byte == b'{').unwrap_or(0);
         let decoded = serde_json::from_slice::<Map<String, Value>>(&line[start..]);
         let Some(event) = decoded.ok().filter(|event| event.contains_key("code")) else {
-            self.passed_over += 1;
+            self.skipped += 1;
             return;
         };
         let line_id = event.get("id").and_then(Value::as_str).unwrap_or_default();
--- a/src/transport/attempt.rs
+++ b/src/transport/attempt.rs
@@ -247,7 +247,7 @@
             .any(|t| t.service == service.name && !t.draining);
         present && offered && service.allowed.contains_key(&member.domain)
     };
-    let offers = table.offers(&service.name).iter();
+    let offers = table.providers(&service.name).iter();
     offers
         .filter(|m| serves(m) && !tried.contains(&m.node))
         .cloned()
--- a/src/transport/inbound.rs
+++ b/src/transport/inbound.rs
@@ -101,9 +101,9 @@
         self.check_place(&view, &service, sender, headers)?;
         let target = self.target(&service)?;
         let policy = view
-            .set
+            .resources
             .service(&service)
-            .and_then(|s| view.set.policy(&s.policy))
+            .and_then(|s| view.resources.policy(&s.policy))
             .cloned();
         let policy = policy
             .ok_or_else(|| Refusal::not_run("service is not known here", Span::from_secs(1)))?;
@@ -132,7 +132,7 @@
     ) -> Result<(), Refusal> {
         let member = self.node.table.read().get(&sender.node).cloned();
         let labels = member.as_ref().map(|member| &member.labels);
-        let allowed = view::allowed(&view.set, service, &sender.domain, labels);
+        let allowed = view::allowed_domains(&view.resources, service, &sender.domain, labels);
         let here = &self.node.settings.domain;
         if allowed.contains(here) {
             return Ok(());
--- a/src/transport/operators.rs
+++ b/src/transport/operators.rs
@@ -133,8 +133,8 @@
 fn metrics<'a>(desk: &'a Desk, _: &'a mut Request, res: &'a mut Response) -> Answer<'a> {
     desk.node
         .metrics
-        .lines_lost
-        .set(desk.node.journal.lost() as i64);
+        .dropped_lines
+        .set(desk.node.journal.dropped() as i64);
     res.replace_body(ResBody::Once(desk.node.metrics.text().into()));
     async { Ok(()) }.boxed()
 }
@@ -144,7 +144,7 @@
         let node = &desk.node;
         let (anchor, accepted) = node
             .applier
-            .inspect(|m| (m.anchor(), m.accepted()))
+            .inspect(|m| (m.anchor(), m.last_accepted()))
             .await
             .map_err(|error| error.to_string())?;
         let me = node.me();
@@ -184,7 +184,7 @@
             None => {
                 desk.node
                     .applier
-                    .inspect(|m| (m.anchor(), m.set().clone()))
+                    .inspect(|m| (m.anchor(), m.resources().clone()))
                     .await
             }
             Some(at) => {
@@ -330,7 +330,7 @@
     let targets = service.map_or_else(Vec::new, |service| {
         let table = node.table.read();
         table
-            .offers(&service.name)
+            .providers(&service.name)
             .iter()
             .map(|m| judgement(m, &service.name, &service.allowed))
             .collect()
--- a/src/transport/outbound.rs
+++ b/src/transport/outbound.rs
@@ -15,7 +15,7 @@
     },
     event::Event,
     id::{self, Name},
-    metrics::Fate,
+    metrics::RequestLabels,
     protocol::answer::{self, Outcome, Refusal},
     transport::{
         attempt::{Choice, Failed, Sender},
@@ -278,10 +278,10 @@
 
     /// Updates the metrics for a request that arrived at `since`.
     fn count(&self, outcome: Outcome, since: Instant) {
-        let fate = Fate {
+        let labels = RequestLabels {
             outcome: outcome.to_string(),
         };
-        self.node.metrics.requests.get_or_create(&fate).inc();
+        self.node.metrics.requests.get_or_create(&labels).inc();
         self.node
             .metrics
             .latency
--- a/src/transport/peers.rs
+++ b/src/transport/peers.rs
@@ -198,12 +198,12 @@
     fn compare(&self, marks: &[u32]) -> Reply {
         let table = self.node.table.read();
         let members = table
-            .differing(marks)
+            .in_differing_buckets(marks)
             .into_iter()
             .map(|member| member.as_ref().clone())
             .collect();
         Reply::Members {
-            marks: table.marks().to_vec(),
+            marks: table.bucket_hashes().to_vec(),
             members,
         }
     }
--- a/src/transport/plan.rs
+++ b/src/transport/plan.rs
@@ -101,7 +101,7 @@
             .allowed
             .get(domain)
             .copied()
-            .unwrap_or(Distance::Beyond)
+            .unwrap_or(Distance::OtherRegion)
     }
 }
 
--- a/src/transport/relay/http1_server.rs
+++ b/src/transport/relay/http1_server.rs
@@ -233,7 +233,7 @@
         let Head {
             request,
             framing,
-            is_persistent: is_persistent,
+            is_persistent,
             ..
         } = head;
         let (method, version) = (request.method().clone(), request.version());
--- a/src/transport/relay/ingress.rs
+++ b/src/transport/relay/ingress.rs
@@ -324,7 +324,7 @@
         let run_time = delivery.arrival.usual_run_time.unwrap_or_default();
         let outflow = &self.host.response_flow;
         let reservation = outflow.reserve(delivery.answer_size, slack.max(run_time));
-        let refusal = |wait| Refusal::not_run(LINK_BUSY, Span::of(wait));
+        let refusal = |wait| Refusal::not_run(LINK_BUSY, Span::from_duration(wait));
         reservation
             .map(|reservation| Some(Arc::new(reservation)))
             .map_err(refusal)
@@ -561,7 +561,7 @@
                 let run_time = response
                     .extensions()
                     .get()
-                    .map(|RunTime(run_time)| Span::of(*run_time));
+                    .map(|RunTime(run_time)| Span::from_duration(*run_time));
                 let report = hop::Reply {
                     run_time,
                     ..self.report(None)
@@ -634,7 +634,8 @@
             .map_err(Refused::before_arrival)?;
         let slack = link_share::body_slack(arrival, Instant::now());
         let reservation = self.inflow.reserve(length, slack);
-        let refused = |wait| Refused::before_arrival(Refusal::not_run(LINK_FULL, Span::of(wait)));
+        let refused =
+            |wait| Refused::before_arrival(Refusal::not_run(LINK_FULL, Span::from_duration(wait)));
         let _reservation = reservation.map_err(refused)?;
         self.read_body(delivery, head, body).await
     }
--- a/src/transport/relay/peer_client.rs
+++ b/src/transport/relay/peer_client.rs
@@ -200,15 +200,15 @@
         *request.uri_mut() = ingress::origin_form(&call.head.uri);
         *request.headers_mut() = forwarded_headers(&call.head.headers);
         let now = Instant::now();
-        let remaining = |until: Instant| Span::of(until.saturating_duration_since(now));
+        let remaining = |until: Instant| Span::from_duration(until.saturating_duration_since(now));
         let ask = hop::Request {
             to: member.node.clone(),
             service: delivery.service.clone(),
             priority: delivery.arrival.priority,
-            max_wait: Span::of(delivery.arrival.max_wait),
+            max_wait: Span::from_duration(delivery.arrival.max_wait),
             due_in: remaining(delivery.arrival.due),
             deadline: remaining(delivery.deadline),
-            usual_run_time: delivery.arrival.usual_run_time.map(Span::of),
+            usual_run_time: delivery.arrival.usual_run_time.map(Span::from_duration),
             usual_answer_size: delivery.answer_size,
             fault_permille: delivery.fault_permille,
             is_repeat: delivery.is_repeat,
--- a/src/unit.rs
+++ b/src/unit.rs
@@ -105,7 +105,7 @@
     }
 
     /// Returns `duration` in whole milliseconds, rounded down.
-    pub fn of(duration: Duration) -> Self {
+    pub fn from_duration(duration: Duration) -> Self {
         Self(u64::try_from(duration.as_millis()).unwrap_or(u64::MAX))
     }
 }
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -225,13 +225,13 @@
             "POST {path} HTTP/1.1\r\nhost: x\r\ncontent-type: application/json\r\n\
              content-length: {length}\r\nconnection: close\r\n\r\n{body}"
         );
-        raw::until_closed((self.ip, TARGETS).into(), call.as_bytes()).await
+        raw::exchange_until_closed((self.ip, TARGETS).into(), call.as_bytes()).await
     }
 
     /// Returns the quarantined contents, as the node reports them to an operator.
     pub async fn held(&self) -> Vec<String> {
         let ask = "GET /held HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-        let answer = raw::until_closed(self.peers(), ask.as_bytes()).await;
+        let answer = raw::exchange_until_closed(self.peers(), ask.as_bytes()).await;
         let (_, body) = answer.split_once("\r\n\r\n").unwrap_or_default();
         let held: Vec<Value> = serde_json::from_str(body).unwrap();
         let content = |held: &Value| held["content"].as_str().unwrap().to_owned();
@@ -246,7 +246,7 @@
             "POST /let-go HTTP/1.1\r\nhost: x\r\ncontent-length: {length}\r\n\
              connection: close\r\n\r\n{body}"
         );
-        let answer = raw::until_closed(self.peers(), call.as_bytes()).await;
+        let answer = raw::exchange_until_closed(self.peers(), call.as_bytes()).await;
         answer.get(9..12).unwrap_or_default().to_owned()
     }
 
@@ -270,7 +270,7 @@
              Rilltrack-Deadline-Ms: {deadline}\r\nContent-Length: {length}\r\n\
              Connection: close\r\n\r\n{body}"
         );
-        raw::until_closed((self.ip, CALLERS).into(), request.as_bytes()).await
+        raw::exchange_until_closed((self.ip, CALLERS).into(), request.as_bytes()).await
     }
 
     /// Returns the address of the node's listener for peers and operators.
@@ -296,7 +296,7 @@
     };
     drop(stream);
     let check = "GET /api/readiness HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-    raw::until_closed(address, check.as_bytes()).await
+    raw::exchange_until_closed(address, check.as_bytes()).await
 }
 
 /// Returns a version with two routes for each service: an idempotent one and one whose
--- a/standins/src/load/model.rs
+++ b/standins/src/load/model.rs
@@ -338,7 +338,7 @@
         {
             Ok(()) => self.cross(request),
             Err(wait) => {
-                let refusal = Refusal::not_run("the link has no room", Span::of(wait));
+                let refusal = Refusal::not_run("the link has no room", Span::from_duration(wait));
                 let arrived = false;
                 self.answer(request, AttemptEnd::Refused { refusal, arrived }, None);
             }
--- a/standins/tests/whole_path.rs
+++ b/standins/tests/whole_path.rs
@@ -64,7 +64,7 @@
         let request = "GET /get/b/ HTTP/1.1\r\nHost: fares.example:80\r\nConnection: close\r\n\
                        Rilltrack-Attempt-Id: id1\r\nRilltrack-Caller-Service: forged\r\n\
                        Rilltrack-Expect-Instance: forged\r\nRilltrack-Hop-Service: a\r\n\r\n";
-        let answer = raw::until_closed(one.callers(), request.as_bytes()).await;
+        let answer = raw::exchange_until_closed(one.callers(), request.as_bytes()).await;
         assert_eq!(status(&answer), "200", "{answer}");
         let [seen] = &two.target.seen()[..] else { panic!("one request") };
         assert_eq!(seen.header("rilltrack-caller-service"), "a");
@@ -263,16 +263,16 @@
                  Transfer-Encoding: chunked\r\nConnection: close\r\n\r\n{chunks}0\r\n\r\n"
             )
         };
-        let answer = raw::until_closed(one.callers(), chunked("id1", 2_100_000).as_bytes()).await;
+        let answer = raw::exchange_until_closed(one.callers(), chunked("id1", 2_100_000).as_bytes()).await;
         assert_eq!(status(&answer), "413", "{answer}");
         assert_eq!(arrivals([&one, &two], "id1"), 0);
-        let answer = raw::until_closed(one.callers(), chunked("id2", 1_900_000).as_bytes()).await;
+        let answer = raw::exchange_until_closed(one.callers(), chunked("id2", 1_900_000).as_bytes()).await;
         assert_eq!(status(&answer), "200", "{answer}");
         let mut small = version(6, &["a", "b"]);
         small["resources"][0]["spec"]["maxBodyBytes"] = 300_000.into();
         store.publish(&small);
         until("version 6 is in force", async || one.version() == 6).await;
-        let answer = raw::until_closed(one.callers(), chunked("id3", 400_000).as_bytes()).await;
+        let answer = raw::exchange_until_closed(one.callers(), chunked("id3", 400_000).as_bytes()).await;
         assert_eq!(status(&answer), "413", "{answer}");
         assert_eq!(arrivals([&one, &two], "id3"), 0);
     }
@@ -459,7 +459,7 @@
         let asked = tokio::spawn(async move {
             let request = "GET /get/b/ HTTP/1.1\r\nHost: fares.example\r\nConnection: close\r\n\
                            Rilltrack-Attempt-Id: id1\r\nRilltrack-Deadline-Ms: 600\r\n\r\n";
-            raw::until_closed(callers, request.as_bytes()).await
+            raw::exchange_until_closed(callers, request.as_bytes()).await
         });
         until("the request is at the target", async || arrivals([&one, &two], "id1") == 1).await;
         one.stop().await;
--- a/tests/coordination.rs
+++ b/tests/coordination.rs
@@ -186,7 +186,10 @@
     damaged[middle] ^= 1;
     assert!(applier.load_snapshot(damaged.into()).await.is_err());
     assert_eq!(
-        (node.version(), node.view.load().as_ref().unwrap().set.len()),
+        (
+            node.version(),
+            node.view.load().as_ref().unwrap().resources.len()
+        ),
         (at(5), 5)
     );
 }
@@ -464,16 +467,16 @@
         };
         let (mut left, mut right) = (table(&a), table(&b));
         let differing = |t: &Table, marks: &[u32]| -> Vec<Member> {
-            t.differing(marks).into_iter().map(|m| m.as_ref().clone()).collect()
+            t.in_differing_buckets(marks).into_iter().map(|m| m.as_ref().clone()).collect()
         };
-        let (to_left, to_right) = (differing(&right, left.marks()), differing(&left, right.marks()));
+        let (to_left, to_right) = (differing(&right, left.bucket_hashes()), differing(&left, right.bucket_hashes()));
         for m in to_left {
             left.merge(m);
         }
         for m in to_right {
             right.merge(m);
         }
-        prop_assert_eq!(left.marks(), right.marks());
+        prop_assert_eq!(left.bucket_hashes(), right.bucket_hashes());
         // Reference: the newest record of each node wins.
         let mut newest: BTreeMap<u32, (u64, Status)> = BTreeMap::new();
         for (i, sequence, s) in a.iter().chain(&b) {
@@ -489,7 +492,7 @@
 
     #[test]
     fn pick_prefers_near_and_cheap_targets(candidates in vec((0..3usize, 0..200u32, any::<bool>()), 0..20), seed in any::<u64>()) {
-        let distances = [Distance::Domain, Distance::Region, Distance::Beyond];
+        let distances = [Distance::Domain, Distance::Region, Distance::OtherRegion];
         let candidates: Vec<Candidate> = candidates
             .into_iter()
             .map(|(d, cost, ejected)| Candidate { distance: distances[d], cost, is_ejected: ejected })
--- a/tests/product.rs
+++ b/tests/product.rs
@@ -20,8 +20,11 @@
 use serde_json::json;
 use support::{
     client,
-    log::{Log, Mood},
-    mesh::{self, Process, attach, basic_ops, knows, processes, publish, reached, ready, settings},
+    log::{Log, Mode},
+    mesh::{
+        self, Process, attach, basic_ops, processes, publish, settings, wait_for_members,
+        wait_for_version, wait_until_ready,
+    },
     target::Target,
 };
 use tempfile::TempDir;
@@ -179,10 +182,10 @@
             b"another program's line",
         ];
         for line in lines {
-            trace.take(line, "a1");
+            trace.add_line(line, "a1");
         }
         trace.sort();
-        assert_eq!((trace.read, trace.passed_over), (7, 2));
+        assert_eq!((trace.lines_read, trace.skipped), (7, 2));
         assert_eq!(trace.text(), [
             "+0 ms n1 E403 Retried: id=a1 to=n3",
             "+2 ms n2 E410 Admitted: id=a1",
@@ -210,7 +213,7 @@
             journal.record(Event::Routed, &[("id", &i)]);
         }
         // No call blocked, and nearly all lines were dropped and counted.
-        assert!(journal.lost() > 90_000, "{}", journal.lost());
+        assert!(journal.dropped() > 90_000, "{}", journal.dropped());
         drop(release);
     }
 
@@ -373,11 +376,11 @@
             .contains("\"ready\":true")
     );
 
-    log.set_mood(Mood::Down);
+    log.set_mode(Mode::Unavailable);
     assert_eq!(run_tool(&mesh[0], &["label", "domain/palermo", "a=b"]).0, 6);
-    log.set_mood(Mood::Hanging);
+    log.set_mode(Mode::Hanging);
     assert_eq!(run_tool(&mesh[0], &["label", "domain/palermo", "a=b"]).0, 5);
-    log.set_mood(Mood::Well);
+    log.set_mode(Mode::Normal);
     let address = mesh[1].listen.operators.to_string();
     drop(mesh);
     assert_eq!(
@@ -437,7 +440,7 @@
     fn start(&self, settings: &serde_json::Value) -> Process {
         let process = Process::start(Path::new(DAEMON), settings);
         let operator = self.client("operator", "rilltrack.internal");
-        mesh::operate(process.listen.operators, &operator);
+        mesh::use_operator_client(process.listen.operators, &operator);
         process
     }
 }
@@ -454,8 +457,8 @@
     let a = start("a1", "palermo", &authority, &[]);
     let b = start("b1", "catania", &authority, &[a.listen.peers]);
     for node in [&a, &b] {
-        ready(&node.listen).await;
-        knows(&node.listen, 2).await;
+        wait_until_ready(&node.listen).await;
+        wait_for_members(&node.listen, 2).await;
     }
     let version = publish(
         a.listen.operators,
@@ -463,7 +466,7 @@
         basic_ops(&["palermo", "catania"], "s"),
     )
     .await;
-    reached(&b.listen, version).await;
+    wait_for_version(&b.listen, version).await;
     let target = Target::start("t", "s");
     attach(&target, &b.listen, &[&a.listen, &b.listen]).await;
     let response = client()
@@ -478,14 +481,14 @@
         let mut settings = settings(node, domain, &log.url(), &[a.listen.peers]);
         settings["security"] = authority.issue("a9", "palermo");
         let impostor = authority.start(&settings);
-        ready(&impostor.listen).await;
-        knows(&impostor.listen, 1).await;
-        knows(&a.listen, 2).await;
+        wait_until_ready(&impostor.listen).await;
+        wait_for_members(&impostor.listen, 1).await;
+        wait_for_members(&a.listen, 2).await;
     }
 
     // A node's certificate allows reading metrics but no publishing. An operator's allows
     // both, also through the tool.
-    let change = mesh::change(a.listen.operators, "theirs", Vec::new()).await;
+    let change = mesh::new_change(a.listen.operators, "theirs", Vec::new()).await;
     let (address, node) = (a.listen.operators, authority.client("b1", "catania"));
     let metrics = node
         .get(format!("https://{address}/metrics"))
@@ -530,9 +533,9 @@
     // Nodes reject a node with a certificate of another authority, requests in plain HTTP and
     // TLS clients without a certificate.
     let c = start("c1", "palermo", &other_authority, &[a.listen.peers]);
-    ready(&c.listen).await;
-    knows(&c.listen, 1).await;
-    knows(&a.listen, 2).await;
+    wait_until_ready(&c.listen).await;
+    wait_for_members(&c.listen, 1).await;
+    wait_for_members(&a.listen, 2).await;
     for address in [a.listen.peers, b.listen.inbound] {
         let plaintext = client()
             .get(format!("http://{address}/s"))
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -254,7 +254,7 @@
             PeerRequest::Routes(_) => {
                 let delta = table(vec![route("r", "h", "/", &[("a", 1)])])
                     .unwrap()
-                    .since(None);
+                    .delta_since(None);
                 rmp_serde::to_vec(&delta).unwrap()
             }
             _ => rmp_serde::to_vec_named(&Progress {
@@ -437,14 +437,14 @@
                 routes.push(r);
             }
             let whole = routing::Table::new(version, routes, vec![name("a")], Limits::default()).unwrap();
-            let delta = whole.since(previous.as_ref());
+            let delta = whole.delta_since(previous.as_ref());
             let bytes = rmp_serde::to_vec(&delta).unwrap();
             let decoded = rmp_serde::from_slice(&bytes).unwrap();
-            let updated = routing::Table::after(previous.as_ref(), decoded).unwrap();
-            assert_eq!(updated.since(None), whole.since(None));
+            let updated = routing::Table::apply_delta(previous.as_ref(), decoded).unwrap();
+            assert_eq!(updated.delta_since(None), whole.delta_since(None));
             // A delta from another version is rejected.
             let mismatched = routing::Delta { base: version + 7, ..delta };
-            assert!(matches!(routing::Table::after(previous.as_ref(), mismatched), Err(routing::Error::Base { .. })));
+            assert!(matches!(routing::Table::apply_delta(previous.as_ref(), mismatched), Err(routing::Error::Base { .. })));
             previous = Some(updated);
         }
     }
@@ -1292,7 +1292,7 @@
             let last = if path == "c" { "connection: close\r\n" } else { "" };
             format!("GET /{path} HTTP/1.1\r\nhost: x\r\n{last}\r\n")
         };
-        let answer = raw::until_closed(address, [get("a"), get("b"), get("c")].concat().as_bytes()).await;
+        let answer = raw::exchange_until_closed(address, [get("a"), get("b"), get("c")].concat().as_bytes()).await;
         let bodies: Vec<&str> = answer.lines().filter(|l| l.starts_with('[')).collect();
         assert_eq!(bodies.len(), 3, "{answer}");
         let position = |text| answer.find(text).unwrap();
@@ -1305,7 +1305,7 @@
                     POST /b HTTP/1.1\r\nhost: x\r\ncontent-length: 3\r\n\r\nxyz\
                     POST /c HTTP/1.1\r\nhost: x\r\ntransfer-encoding: chunked\r\n\r\n2\r\nuv\r\n0\r\n\r\n\
                     GET /d HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-        let answer = raw::until_closed(address, sent.as_bytes()).await;
+        let answer = raw::exchange_until_closed(address, sent.as_bytes()).await;
         for part in ["/a=", "/b=xyz", "/c=uv", "/d="] {
             assert!(answer.contains(part), "{part} is missing in {answer}");
         }
@@ -1343,11 +1343,11 @@
         });
         let address = address.recv().unwrap();
         let post = "POST / HTTP/1.1\r\nhost: x\r\nconnection: close\r\ncontent-length: 3\r\n\r\nabc";
-        let posted = tokio::spawn(async move { raw::until_closed(address, post.as_bytes()).await });
+        let posted = tokio::spawn(async move { raw::exchange_until_closed(address, post.as_bytes()).await });
         let mut was_dropped = was_dropped;
         was_dropped.recv().await.unwrap();
         let get = "GET / HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-        let answer = raw::until_closed(address, get.as_bytes()).await;
+        let answer = raw::exchange_until_closed(address, get.as_bytes()).await;
         assert!(answer.ends_with("done"), "{answer}");
         let answer = posted.await.unwrap();
         assert!(answer.ends_with("done"), "{answer}");
@@ -1355,7 +1355,7 @@
 
     invalid_request_gets_400_and_a_close => {
         let (address, _phase) = serve(ClientKind::Callers, Limits::default(), echo()).await;
-        let answer = raw::until_closed(address, b"\x16\x03\x01 no http\r\n\r\n").await;
+        let answer = raw::exchange_until_closed(address, b"\x16\x03\x01 no http\r\n\r\n").await;
         assert!(answer.starts_with("HTTP/1.1 400 ") && answer.contains("connection: close"), "{answer}");
     }
 
@@ -1363,14 +1363,14 @@
         let limits = Limits { head: Size::from_bytes(1024), ..Limits::default() };
         let (address, _phase) = serve(ClientKind::Callers, limits, echo()).await;
         let long = format!("GET / HTTP/1.1\r\nhost: x\r\na: {}", "b".repeat(4000));
-        let answer = raw::until_closed(address, long.as_bytes()).await;
+        let answer = raw::exchange_until_closed(address, long.as_bytes()).await;
         assert!(answer.starts_with("HTTP/1.1 431 "), "{answer}");
     }
 
     head_that_never_ends_gets_408 => {
         let limits = Limits { head_timeout: Span::from_millis(50), ..Limits::default() };
         let (address, _phase) = serve(ClientKind::Callers, limits, echo()).await;
-        let answer = raw::until_closed(address, b"GET / HTTP/1.1\r\nhost: x\r\n").await;
+        let answer = raw::exchange_until_closed(address, b"GET / HTTP/1.1\r\nhost: x\r\n").await;
         assert!(answer.starts_with("HTTP/1.1 408 "), "{answer}");
     }
 
@@ -1415,7 +1415,7 @@
         });
         let (address, phase) = serve(ClientKind::Callers, Limits::default(), handler).await;
         let response = tokio::spawn(async move {
-            raw::until_closed(address, b"GET / HTTP/1.1\r\nhost: x\r\n\r\n").await
+            raw::exchange_until_closed(address, b"GET / HTTP/1.1\r\nhost: x\r\n\r\n").await
         });
         support::until("the connection is open", || async {
             (phase.receiver_count() > 2).then_some(())
@@ -1585,10 +1585,10 @@
         let update_for = |marks: &[u32]| -> MembersUpdate<Member> {
             rmp_serde::from_slice(&source::members(&host, marks)).unwrap()
         };
-        let missing = update_for(peer_table.marks());
+        let missing = update_for(peer_table.bucket_hashes());
         assert!(missing.members.contains(&list[0]));
         assert!(missing.members.len() < 20, "{} of 300", missing.members.len());
-        assert!(update_for(host.members.read().marks()).members.is_empty());
+        assert!(update_for(host.members.read().bucket_hashes()).members.is_empty());
         assert_eq!(update_for(&[]).members.len(), 300, "a peer without members is sent all");
     }
 
@@ -1609,7 +1609,7 @@
         until_gone(&host, "n1").await;
         let members = host.members.read().clone();
         assert_eq!(members.get(&"n2".parse().unwrap()).unwrap().status, Status::Alive);
-        assert_eq!(members.offers(&name("a")).len(), 1);
+        assert_eq!(members.providers(&name("a")).len(), 1);
 
         // If the node itself is reported gone by mistake, it publishes that it is alive.
         let me = members.get(&"me".parse().unwrap()).unwrap();
@@ -1617,7 +1617,7 @@
         host.merge_member(gone.clone(), "reader");
         let republished = written_members.recv().await.unwrap();
         assert_eq!((republished.node.as_str(), republished.status), ("me", Status::Alive));
-        assert!(republished.stamp() > gone.stamp());
+        assert!(republished.precedence() > gone.precedence());
     }
 
     first_version_comes_from_a_higher_ranked_node_and_not_from_the_store => {
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -11,7 +11,7 @@
     client,
     local::{Mesh, resources},
     log::Log,
-    mesh::{self, attach, ops, processes, publish, reached},
+    mesh::{self, attach, ops, processes, publish, wait_for_version},
     raw,
     target::Target,
     until,
@@ -377,7 +377,7 @@
         let policy = json!({"max_body": "1GiB", "timeout": "30s"});
         let version = publish(nodes[0].listen.operators, "base", ops(&resources(&DOMAINS, "s", policy))).await;
         for node in &nodes {
-            reached(&node.listen, version).await;
+            wait_for_version(&node.listen, version).await;
         }
         let target = Target::start("t", "s");
         let listens = [&nodes[0].listen, &nodes[1].listen];
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -405,13 +405,13 @@
     main_release_is_that_of_most_present_targets => {
         let mut table = table(3, 2);
         let service = name("a");
-        assert_eq!(table.main_release(&service, None), Some(&release("v1")));
-        assert_eq!(table.main_release(&service, Some(&release("v1"))), Some(&release("v2")));
+        assert_eq!(table.most_common_release(&service, None), Some(&release("v1")));
+        assert_eq!(table.most_common_release(&service, Some(&release("v1"))), Some(&release("v2")));
         for i in 0..2 {
             table.merge(Member { status: Status::Gone, ..member(&format!("old{i}"), "v1", 2) });
         }
-        assert_eq!(table.main_release(&service, None), Some(&release("v2")));
+        assert_eq!(table.most_common_release(&service, None), Some(&release("v2")));
         table.forget(&"old2".parse().unwrap());
-        assert!(!table.has_releases(&service));
+        assert!(!table.has_several_releases(&service));
     }
 }
--- a/tests/state.rs
+++ b/tests/state.rs
@@ -171,7 +171,7 @@
 
 fn resources(machine: &Machine) -> Vec<Resource> {
     machine
-        .set()
+        .resources()
         .iter()
         .map(|held| held.resource.clone())
         .collect()
@@ -179,7 +179,7 @@
 
 fn assert_same(a: &Machine, b: &Machine) {
     assert_eq!(a.anchor(), b.anchor());
-    assert_eq!(a.set(), b.set());
+    assert_eq!(a.resources(), b.resources());
     assert!(a.history().eq(b.history()));
 }
 
@@ -197,8 +197,8 @@
             let applied = machine.apply(i as u64, record).unwrap();
             prop_assert_eq!(applied.verdict.is_accepted(), mesh.apply(&ops), "{:?} {:?}", applied.verdict, ops);
             prop_assert_eq!(resources(&machine), mesh.sorted());
-            view = view.next(machine.version(), machine.set().clone(), &applied.touched);
-            prop_assert_eq!(&view, &View::new(machine.version(), machine.set().clone(), proxy.clone()));
+            view = view.updated(machine.version(), machine.resources().clone(), &applied.touched);
+            prop_assert_eq!(&view, &View::new(machine.version(), machine.resources().clone(), proxy.clone()));
             let routes: std::collections::BTreeSet<Name> = view.routes().iter().map(|r| r.name.clone()).collect();
             prop_assert_eq!(&routes, &mesh.routes_of(&proxy.labels));
             for route in view.routes() {
@@ -213,7 +213,7 @@
     #[test]
     fn selector_agrees_with_naive(selector in selector(), labels in labels()) {
         prop_assert_eq!(selector.matches(&labels), naive::matches(&selector, &labels));
-        prop_assert_eq!(selector.problem().is_none(), naive::is_valid_selector(&selector));
+        prop_assert_eq!(selector.fault().is_none(), naive::is_valid_selector(&selector));
     }
 
     #[test]
@@ -223,10 +223,10 @@
             let record = record(&machine, &format!("c{i}"), None, ops);
             apply(&mut machine, record);
         }
-        for service in machine.set().services() {
-            for domain in machine.set().domains() {
-                let known = view::allowed(machine.set(), &service.name, &domain.name, Some(&labels));
-                let unknown = view::allowed(machine.set(), &service.name, &domain.name, None);
+        for service in machine.resources().services() {
+            for domain in machine.resources().domains() {
+                let known = view::allowed_domains(machine.resources(), &service.name, &domain.name, Some(&labels));
+                let unknown = view::allowed_domains(machine.resources(), &service.name, &domain.name, None);
                 prop_assert!(known.is_empty() || unknown.is_subset(&known));
             }
         }
@@ -266,11 +266,11 @@
         let records = [noise.clone(), [b"rt\0\0\0\x01".as_slice(), &noise].concat()];
         for record in records {
             let mut machine = initial_machine();
-            let before = machine.set().clone();
+            let before = machine.resources().clone();
             let version = machine.version();
             let applied = machine.apply(version.offset, record.clone().into());
             prop_assert!(!applied.is_ok_and(|applied| applied.verdict.is_accepted()));
-            prop_assert_eq!(machine.set(), &before);
+            prop_assert_eq!(machine.resources(), &before);
             prop_assert!(Machine::from_snapshot(&record).is_err());
         }
         // Decoding noise may succeed, but it must not panic.
@@ -348,7 +348,7 @@
         assert_eq!(apply(&mut machine, record.clone()), Verdict::Accepted);
         let version = machine.version();
         assert_eq!(apply(&mut machine, record), Verdict::Repeated(version));
-        assert_eq!(machine.accepted(), version);
+        assert_eq!(machine.last_accepted(), version);
     }
 
     rejected_change_repeated_stays_rejected => {
@@ -469,10 +469,10 @@
         let add = record(&machine, "regions", None, ops);
         assert_eq!(apply(&mut machine, add), Verdict::Accepted);
         let proxy = Proxy { domain: "d0".parse().unwrap(), labels: Labels::new() };
-        let view = View::new(machine.version(), machine.set().clone(), proxy);
+        let view = View::new(machine.version(), machine.resources().clone(), proxy);
         let service = view.service(&"s0".parse().unwrap()).unwrap();
         let distances: Vec<Distance> = service.allowed.values().copied().collect();
-        assert_eq!(distances, [Distance::Domain, Distance::Region, Distance::Beyond]);
+        assert_eq!(distances, [Distance::Domain, Distance::Region, Distance::OtherRegion]);
     }
 
     path_matches_whole_segments_only => {
@@ -481,7 +481,7 @@
         let add = record(&machine, "routes", None, ops);
         assert_eq!(apply(&mut machine, add), Verdict::Accepted);
         let proxy = Proxy { domain: "d0".parse().unwrap(), labels: Labels::new() };
-        let view = View::new(machine.version(), machine.set().clone(), proxy);
+        let view = View::new(machine.version(), machine.resources().clone(), proxy);
         let find = |path: &str| view.route(None, path, "GET").map(|r| r.name.to_string());
         assert_eq!(find("/fare"), Some("fare".into()));
         assert_eq!(find("/fare/7"), Some("fare".into()));
--- a/tests/support/local.rs
+++ b/tests/support/local.rs
@@ -11,7 +11,7 @@
 
 use super::{
     log::Log,
-    mesh::{self, attach, knows, publish, reached, ready},
+    mesh::{self, attach, publish, wait_for_members, wait_for_version, wait_until_ready},
     target::{self, Target},
     until,
 };
@@ -44,8 +44,8 @@
         }
         let mesh = Self { log, daemons };
         for daemon in &mesh.daemons {
-            ready(&daemon.listen).await;
-            knows(&daemon.listen, domains.len()).await;
+            wait_until_ready(&daemon.listen).await;
+            wait_for_members(&daemon.listen, domains.len()).await;
         }
         mesh.publish("base", mesh::ops(resources)).await;
         mesh
@@ -55,7 +55,7 @@
     pub async fn publish(&self, id: &str, ops: Vec<Op>) {
         let version = publish(self.daemons[0].listen.operators, id, ops).await;
         for daemon in &self.daemons {
-            reached(&daemon.listen, version).await;
+            wait_for_version(&daemon.listen, version).await;
         }
     }
 
--- a/tests/support/log.rs
+++ b/tests/support/log.rs
@@ -20,16 +20,16 @@
 
 /// How the log answers calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Mood {
+pub enum Mode {
     /// Calls succeed.
     #[default]
-    Well,
+    Normal,
     /// Every call fails at once with status 503.
-    Down,
+    Unavailable,
     /// Every call hangs until the caller times out.
     Hanging,
     /// Appends take effect, but are answered with status 504.
-    LosingAnswers,
+    LosingAppendReplies,
 }
 
 #[derive(Default)]
@@ -49,7 +49,7 @@
 #[derive(Default)]
 struct State {
     streams: HashMap<String, Stream>,
-    mood: Mood,
+    mode: Mode,
     reads: u64,
     appends: u64,
     read_bytes: u64,
@@ -60,7 +60,7 @@
 pub struct Log {
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
-    /// Wakes waiting reads after an append or a change of mood.
+    /// Wakes waiting reads after an append or a change of mode.
     changed: Arc<Notify>,
 }
 
@@ -104,8 +104,8 @@
     }
 
     /// Sets how calls are answered, also those that wait for records.
-    pub fn set_mood(&self, mood: Mood) {
-        self.state.lock().mood = mood;
+    pub fn set_mode(&self, mode: Mode) {
+        self.state.lock().mode = mode;
         self.changed.notify_waiters();
     }
 
@@ -129,7 +129,7 @@
             .truncate((offset - stream.first_offset) as usize);
     }
 
-    /// Appends a record directly, whatever the mood, and returns its offset.
+    /// Appends a record directly, whatever the mode, and returns its offset.
     pub fn append(&self, stream: &str, record: Bytes) -> u64 {
         let mut state = self.state.lock();
         state.appends += 1;
@@ -189,15 +189,15 @@
         }
     }
 
-    /// Fails or delays a call as the mood says; returns whether it did.
+    /// Fails or delays a call as the mode says; returns whether it did.
     async fn inject_fault(&self, res: &mut Response) -> bool {
-        let mood = self.state.lock().mood;
-        match mood {
-            Mood::Well | Mood::LosingAnswers => return false,
-            Mood::Down => {
+        let mode = self.state.lock().mode;
+        match mode {
+            Mode::Normal | Mode::LosingAppendReplies => return false,
+            Mode::Unavailable => {
                 res.status_code(StatusCode::SERVICE_UNAVAILABLE);
             }
-            Mood::Hanging => tokio::time::sleep(Duration::from_secs(3600)).await,
+            Mode::Hanging => tokio::time::sleep(Duration::from_secs(3600)).await,
         }
         true
     }
@@ -257,7 +257,7 @@
             .map(|body| body.to_bytes())
             .unwrap_or_default();
         let offset = log.append(&stream, record);
-        if log.state.lock().mood == Mood::LosingAnswers {
+        if log.state.lock().mode == Mode::LosingAppendReplies {
             res.status_code(StatusCode::GATEWAY_TIMEOUT);
             return;
         }
--- a/tests/support/mesh.rs
+++ b/tests/support/mesh.rs
@@ -126,7 +126,7 @@
 static OPERATOR_CLIENTS: Mutex<BTreeMap<SocketAddr, reqwest::Client>> = Mutex::new(BTreeMap::new());
 
 /// Makes later calls to the operators address `at` use `client` over TLS.
-pub fn operate(at: SocketAddr, client: &reqwest::Client) {
+pub fn use_operator_client(at: SocketAddr, client: &reqwest::Client) {
     OPERATOR_CLIENTS.lock().insert(at, client.clone());
 }
 
@@ -166,7 +166,7 @@
 }
 
 /// Waits until the daemon holds a complete view.
-pub async fn ready(listen: &Listen) {
+pub async fn wait_until_ready(listen: &Listen) {
     until("the daemon is ready", || async {
         report(listen).await.filter(|report| report.ready)
     })
@@ -174,7 +174,7 @@
 }
 
 /// Waits until the daemon is ready with `version` or a newer one in force.
-pub async fn reached(listen: &Listen, version: Version) {
+pub async fn wait_for_version(listen: &Listen, version: Version) {
     let check = || async {
         report(listen)
             .await
@@ -184,7 +184,7 @@
 }
 
 /// Waits until the daemon knows exactly `count` members that are alive.
-pub async fn knows(listen: &Listen, count: usize) {
+pub async fn wait_for_members(listen: &Listen, count: usize) {
     until("all members are known", || async {
         let report = report(listen).await?;
         let alive = report
@@ -198,7 +198,7 @@
 }
 
 /// Returns a change based on the current state of the daemon at `at`.
-pub async fn change(at: SocketAddr, id: &str, ops: Vec<Op>) -> Change {
+pub async fn new_change(at: SocketAddr, id: &str, ops: Vec<Op>) -> Change {
     let current: Resources = get(at, "resources").await.unwrap();
     Change {
         id: id.parse().unwrap(),
@@ -216,7 +216,7 @@
 ///
 /// Panics if the operations are not accepted.
 pub async fn publish(at: SocketAddr, id: &str, ops: Vec<Op>) -> Version {
-    let change = change(at, id, ops).await;
+    let change = new_change(at, id, ops).await;
     match post(at, "changes", &change).await {
         Some(Published::Decided(outcome)) if outcome.verdict.is_accepted() => outcome.version,
         other => panic!("change {id:?} was not accepted: {other:?}"),
@@ -243,7 +243,7 @@
 pub fn ops(resources: &[Value]) -> Vec<Op> {
     let text = Value::from(resources.to_vec()).to_string();
     let document = rilltrack::document::Document::parse("test", &text).unwrap();
-    let parsed = rilltrack::files::Files::parse_only(&document)
+    let parsed = rilltrack::files::Files::decode_resources(&document)
         .expect("resources of the test are well-formed");
     parsed.into_iter().map(Op::Put).collect()
 }
@@ -264,8 +264,8 @@
         ));
     }
     for process in &started {
-        ready(&process.listen).await;
-        knows(&process.listen, nodes.len()).await;
+        wait_until_ready(&process.listen).await;
+        wait_for_members(&process.listen, nodes.len()).await;
     }
     started
 }
--- a/tests/support/raw.rs
+++ b/tests/support/raw.rs
@@ -86,7 +86,7 @@
 
 /// Sends `bytes` and returns all bytes received until the peer closes the
 /// connection. The limit of 60 s only stops a hanging test.
-pub async fn until_closed(to: SocketAddr, bytes: &[u8]) -> String {
+pub async fn exchange_until_closed(to: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(to).await.unwrap();
     // The server may answer and close before it has read all bytes.
     let _ = stream.write_all(bytes).await;
--- a/tests/support/scenario.rs
+++ b/tests/support/scenario.rs
@@ -55,7 +55,7 @@
 
 use super::{
     link::{Links, PLATFORM, Relay},
-    log::{Log, Mood},
+    log::{Log, Mode},
     mesh::{self, Process, attach, basic_ops},
     target::Target,
     until,
@@ -152,13 +152,15 @@
         match words {
             ["start", nodes, domain] => nodes.split(',').for_each(|node| self.start(node, domain)),
             ["ready", nodes] => {
-                self.each(nodes, async |p| mesh::ready(&p.listen).await)
+                self.each(nodes, async |p| mesh::wait_until_ready(&p.listen).await)
                     .await
             }
             ["known", nodes, count] => {
                 let count: usize = count.parse().unwrap();
-                self.each(nodes, async |p| mesh::knows(&p.listen, count).await)
-                    .await;
+                self.each(nodes, async |p| {
+                    mesh::wait_for_members(&p.listen, count).await
+                })
+                .await;
             }
             ["kill", nodes] => self
                 .names(nodes)
@@ -174,10 +176,10 @@
                     assert_versions_never_decrease(&process);
                 }
             }
-            ["log", "down"] => self.log.set_mood(Mood::Down),
-            ["log", "hanging"] => self.log.set_mood(Mood::Hanging),
-            ["log", "losing"] => self.log.set_mood(Mood::LosingAnswers),
-            ["log", "well"] => self.log.set_mood(Mood::Well),
+            ["log", "down"] => self.log.set_mode(Mode::Unavailable),
+            ["log", "hanging"] => self.log.set_mode(Mode::Hanging),
+            ["log", "losing"] => self.log.set_mode(Mode::LosingAppendReplies),
+            ["log", "well"] => self.log.set_mode(Mode::Normal),
             ["log", "expire", stream, offset] => self.log.expire(stream, offset.parse().unwrap()),
             ["log", "truncate", stream, offset] => {
                 self.log.truncate(stream, offset.parse().unwrap())
@@ -228,8 +230,10 @@
             ["mark", node] => self.marked = mesh::report(&self.processes[*node].listen).await,
             ["reach", nodes] => {
                 let version = self.accepted;
-                self.each(nodes, async |p| mesh::reached(&p.listen, version).await)
-                    .await;
+                self.each(nodes, async |p| {
+                    mesh::wait_for_version(&p.listen, version).await
+                })
+                .await;
             }
             ["stay", nodes] => {
                 let anchor = self.marked.as_ref().unwrap().anchor;
@@ -317,7 +321,7 @@
         let at = self.processes[node].listen.operators;
         let change = Change {
             expect,
-            ..mesh::change(at, id, ops).await
+            ..mesh::new_change(at, id, ops).await
         };
         let published = until("the change is decided", || async {
             let published: Published = mesh::post(at, "changes", &change).await?;
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -13,7 +13,7 @@
 use support::{
     local::{Mesh, resources},
     log::Log,
-    mesh::{attach, basic_ops, processes, publish, reached},
+    mesh::{attach, basic_ops, processes, publish, wait_for_version},
     target::Target,
 };
 
@@ -32,7 +32,7 @@
     )
     .await;
     for process in &mesh {
-        reached(&process.listen, version).await;
+        wait_for_version(&process.listen, version).await;
     }
     let target = Target::start("t-catania", "balance");
     let all: Vec<_> = mesh.iter().map(|process| &process.listen).collect();
