--- a/standins/src/load/mod.rs
+++ b/standins/src/load/mod.rs
@@ -1,7 +1,7 @@
 //! A model of load: callers, nodes and targets over a virtual clock.
 //!
 //! It replays a load on the decisions of rilltrack itself: each node has its
-//! [`Balance`], its [`Queue`] and its [`Allowance`], and each request its [`Tries`]; the model
+//! [`Balancer`], its [`Queue`] and its [`RetryBudget`], and each request its [`Attempts`]; the model
 //! doesn't reimplement them. There are no processes, sockets or threads, and a replay is
 //! deterministic: the same seed gives identical figures.
 //!
