--- a/src/coordination/gossip.rs
+++ b/src/coordination/gossip.rs
@@ -198,7 +198,7 @@
             .chain(&near)
             .zip(seed_news.into_iter().chain(near_news));
         let mut sources: Vec<_> = all
-            .filter_map(|(peer, news)| Some((news.ok()?.version, *peer)))
+            .filter_map(|(peer, ping_body)| Some((ping_body.ok()?.version, *peer)))
             .collect();
         sources.sort_by(|a, b| b.cmp(a));
         sources
@@ -412,7 +412,7 @@
     }
 }
 
-/// Pings `peer`, applies the news in its reply and returns them; catches up in the
+/// Pings `peer`, applies the updates in its reply and returns them; catches up in the
 /// background if `peer` is ahead.
 ///
 /// # Errors
@@ -421,11 +421,11 @@
 pub async fn ping(node: &Arc<Node>, call: &Call, peer: SocketAddr) -> Result<PingBody, Error> {
     let timeout = node.settings.membership.timeout;
     let reply = call(peer, Frame::Ping(outgoing_updates(node)), timeout).await?;
-    let Reply::Pong(news) = reply else {
+    let Reply::Pong(ping_body) = reply else {
         return Err(Error::Unexpected(peer.to_string()));
     };
-    apply_news(node, call, news.clone());
-    Ok(news)
+    apply_news(node, call, ping_body.clone());
+    Ok(ping_body)
 }
 
 /// Returns this node's version and its next member updates, for a ping or the reply to
@@ -440,20 +440,20 @@
     }
 }
 
-/// Merges the member updates in a peer's news; catches up in the background if the peer
+/// Merges the member updates in a peer's ping body; catches up in the background if the peer
 /// is ahead.
-pub fn apply_news(node: &Arc<Node>, call: &Call, news: PingBody) {
-    node.merge_members(news.members);
+pub fn apply_news(node: &Arc<Node>, call: &Call, ping_body: PingBody) {
+    node.merge_members(ping_body.members);
     let held = node.version();
-    if news.version == held {
+    if ping_body.version == held {
         node.mark_current();
     }
-    if news.version > held && node.view.load().is_some() {
+    if ping_body.version > held && node.view.load().is_some() {
         tokio::spawn(fetch_later(
             node.clone(),
             call.clone(),
-            news.peers,
-            news.version,
+            ping_body.peers,
+            ping_body.version,
         ));
     }
 }
@@ -473,12 +473,13 @@
 pub fn answer_ping(node: &Arc<Node>, call: &Call, from: PingBody) -> Reply {
     let sender = from.node.clone();
     apply_news(node, call, from);
-    let mut news = outgoing_updates(node);
+    let mut ping_body = outgoing_updates(node);
     let held = node.table.read().get(&sender).cloned();
     let suspected = held.filter(|member| matches!(member.status, Status::Suspect | Status::Gone));
-    news.members
+    ping_body
+        .members
         .extend(suspected.map(|member| member.as_ref().clone()));
-    Reply::Pong(news)
+    Reply::Pong(ping_body)
 }
 
 /// Sends this node's own record to `count` random members at once.
--- a/src/coordination/log_reader.rs
+++ b/src/coordination/log_reader.rs
@@ -249,8 +249,12 @@
         let (node, call) = (self.node.clone(), self.call.clone());
         // Runs in the background, so that a slow member does not delay the next read.
         tokio::spawn(async move {
-            let census = scatter::scatter(call, node.peers, load, slice).await;
-            let (current, behind, silent) = (census.current, census.behind, census.silent);
+            let version_count = scatter::scatter(call, node.peers, load, slice).await;
+            let (current, behind, silent) = (
+                version_count.current,
+                version_count.behind,
+                version_count.silent,
+            );
             let details =
                 format_args!("version={version} current={current} behind={behind} silent={silent}");
             node.journal.write(Event::Spread, details);
@@ -365,15 +369,15 @@
         Payload::Count { version } => *version,
     };
     let relayed = scatter::scatter(call.clone(), node.peers, payload.clone(), recipients);
-    let (is_current, mut census) =
+    let (is_current, mut version_count) =
         tokio::join!(apply_load(node, call, from, payload, wanted), relayed);
     if is_current {
-        census.current += 1;
+        version_count.current += 1;
     } else {
-        census.behind += 1;
-        census.add_named(node.peers);
+        version_count.behind += 1;
+        version_count.add_named(node.peers);
     }
-    Ok(Reply::Counted(census))
+    Ok(Reply::Counted(version_count))
 }
 
 /// Puts the records of `payload` in force on this node; returns whether `wanted` is in
--- a/src/coordination/scatter.rs
+++ b/src/coordination/scatter.rs
@@ -37,11 +37,11 @@
         let branches = parts
             .into_iter()
             .map(|part| send_to_part(call.clone(), me, payload.clone(), part));
-        let mut census = VersionCount::default();
+        let mut version_count = VersionCount::default();
         for counted in join_all(branches).await {
-            census.add(counted);
+            version_count.add(counted);
         }
-        census
+        version_count
     }
     .boxed()
 }
@@ -74,7 +74,7 @@
     payload: Payload,
     mut part: Vec<SocketAddr>,
 ) -> VersionCount {
-    let mut census = VersionCount::default();
+    let mut version_count = VersionCount::default();
     while !part.is_empty() {
         let head = part.remove(0);
         let scatter = Scatter {
@@ -89,11 +89,11 @@
         )
         .await;
         if let Ok(Ok(Reply::Counted(counted))) = reply {
-            census.add(counted);
-            return census;
+            version_count.add(counted);
+            return version_count;
         }
-        census.silent += 1;
-        census.add_named(head);
+        version_count.silent += 1;
+        version_count.add_named(head);
     }
-    census
+    version_count
 }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -117,7 +117,7 @@
                 stopped.clone(),
             )?,
             membership(&node, &call, stopped.clone())?,
-            following(&node, &call, &log, stopped.clone())?,
+            start_log_reader(&node, &call, &log, stopped.clone())?,
             snapshots(&node, &log, stopped)?,
         ];
         Ok(Self {
@@ -318,7 +318,12 @@
 }
 
 /// Starts the thread that reads the log on behalf of the failure domain.
-fn following(node: &Arc<Node>, call: &Call, log: &Log, stopped: watch::Receiver<bool>) -> Thread {
+fn start_log_reader(
+    node: &Arc<Node>,
+    call: &Call,
+    log: &Log,
+    stopped: watch::Receiver<bool>,
+) -> Thread {
     let log_reader = LogReader::new(node.clone(), call.clone(), log.clone());
     start_thread("follow", async move {
         tokio::select! {
--- a/src/transport/peers.rs
+++ b/src/transport/peers.rs
@@ -146,17 +146,17 @@
     async fn reply(&self, sender: &Identity, frame: Frame) -> Result<Reply, Error> {
         let Self { node, call } = self;
         match frame {
-            Frame::Ping(news) if news.node != sender.node => {
+            Frame::Ping(ping_body) if ping_body.node != sender.node => {
                 Err(Error::Unexpected(sender.node.to_string()))
             }
-            Frame::Ping(mut news) => {
-                news.members.retain(|member| is_honest(member, sender));
-                Ok(gossip::answer_ping(node, call, news))
+            Frame::Ping(mut ping_body) => {
+                ping_body.members.retain(|member| is_honest(member, sender));
+                Ok(gossip::answer_ping(node, call, ping_body))
             }
             Frame::PingFor(peer) => {
                 Ok(Reply::Reached(gossip::ping(node, call, peer).await.is_ok()))
             }
-            Frame::Sync(marks) => Ok(self.compare(&marks)),
+            Frame::Sync(hashes) => Ok(self.compare(&hashes)),
             Frame::Tell(mut members) => {
                 members.retain(|member| is_honest(member, sender));
                 node.merge_members(members);
@@ -194,11 +194,11 @@
         }
     }
 
-    /// Returns the members that differ from the hashes `marks` of a peer's table.
-    fn compare(&self, marks: &[u32]) -> Reply {
+    /// Returns the members that differ from the `hashes` of a peer's table.
+    fn compare(&self, hashes: &[u32]) -> Reply {
         let table = self.node.table.read();
         let members = table
-            .in_differing_buckets(marks)
+            .in_differing_buckets(hashes)
             .into_iter()
             .map(|member| member.as_ref().clone())
             .collect();
--- a/src/transport/relay/codec.rs
+++ b/src/transport/relay/codec.rs
@@ -296,7 +296,7 @@
         }
         write_header(out, name.as_str(), value.as_bytes());
     }
-    let ending = match response.body().size_hint().exact() {
+    let framing = match response.body().size_hint().exact() {
         _ if !has_body => ResponseFraming::Length,
         Some(length) => {
             write_header(out, "content-length", length.to_string().as_bytes());
@@ -308,13 +308,13 @@
         }
         None => ResponseFraming::Close,
     };
-    if !is_persistent || ending == ResponseFraming::Close {
+    if !is_persistent || framing == ResponseFraming::Close {
         write_header(out, "connection", b"close");
     } else if version == Version::HTTP_10 {
         write_header(out, "connection", b"keep-alive");
     }
     out.extend_from_slice(b"\r\n");
-    ending
+    framing
 }
 
 /// Returns whether a response with this status may have a body.
--- a/src/transport/relay/control.rs
+++ b/src/transport/relay/control.rs
@@ -99,7 +99,7 @@
 ) -> Result<Bytes, Error> {
     let (path, body) = match request {
         PeerRequest::Routes(base) => (ROUTES, encode(&base)),
-        PeerRequest::Members(marks) => (MEMBERS, encode(&marks)),
+        PeerRequest::Members(hashes) => (MEMBERS, encode(&hashes)),
         PeerRequest::Progress => (SEEN, Bytes::new()),
         PeerRequest::Deliver(news) => (NEWS, encode(&news)),
     };
@@ -141,15 +141,15 @@
 }
 
 /// Returns the handler of requests from peers and operators.
-pub fn peers(host: Arc<Host>, ask: CallPeer) -> Handler {
+pub fn peers(host: Arc<Host>, call_peer: CallPeer) -> Handler {
     Arc::new(move |request: Request<Body>| {
-        let (host, ask) = (host.clone(), ask.clone());
+        let (host, call_peer) = (host.clone(), call_peer.clone());
         async move {
             match request.uri().path() {
                 ROUTES => routes(&host, request.into_body()).await,
                 MEMBERS => members(&host, request.into_body()).await,
                 SEEN => Response::new(Body::whole(encode(&host.progress()))),
-                NEWS => news(&host, &ask, request.into_body()).await,
+                NEWS => news(&host, &call_peer, request.into_body()).await,
                 ROLLOUTS => json(&controller::progress(&host)),
                 HELD => json(&host.quarantine.quarantined(Instant::now())),
                 LET_GO => let_go(&host, request.into_body()).await,
@@ -180,18 +180,18 @@
         return empty_response(StatusCode::BAD_REQUEST);
     };
     // Marks that can't be decoded count as none, so that all members are sent.
-    let marks: Vec<u32> = rmp_serde::from_slice(&bytes).unwrap_or_default();
-    Response::new(Body::whole(source::members(host, &marks)))
+    let hashes: Vec<u32> = rmp_serde::from_slice(&bytes).unwrap_or_default();
+    Response::new(Body::whole(source::members(host, &hashes)))
 }
 
-async fn news(host: &Arc<Host>, ask: &CallPeer, body: Body) -> Response<Body> {
+async fn news(host: &Arc<Host>, call_peer: &CallPeer, body: Body) -> Response<Body> {
     let read = body::read(body, MAX_PEER_MESSAGE, PEER_TIMEOUT).await;
     let Ok(ReadResult::Whole(bytes)) = read else {
         return empty_response(StatusCode::BAD_REQUEST);
     };
     match source::decode(host, &bytes, "news", "reader") {
         Some(news) => {
-            source::apply_update(host, ask, news);
+            source::apply_update(host, call_peer, news);
             empty_response(StatusCode::OK)
         }
         None => empty_response(StatusCode::BAD_REQUEST),
--- a/src/transport/relay/http1_server.rs
+++ b/src/transport/relay/http1_server.rs
@@ -404,18 +404,18 @@
         ..
     } = answer;
     let mut out = BytesMut::with_capacity(READ_BYTES);
-    let ending = codec::write_head(&response, &method, version, is_persistent, &mut out);
+    let framing = codec::write_head(&response, &method, version, is_persistent, &mut out);
     let has_body = method != Method::HEAD && codec::may_have_body(response.status());
     let mut body = response.into_body();
     while has_body && let Some(frame) = body.frame().await {
         let Ok(data) = frame?.into_data() else {
             continue;
         };
-        if ending == ResponseFraming::Chunks {
+        if framing == ResponseFraming::Chunks {
             out.extend_from_slice(format!("{:x}\r\n", data.len()).as_bytes());
         }
         out.extend_from_slice(&data);
-        if ending == ResponseFraming::Chunks {
+        if framing == ResponseFraming::Chunks {
             out.extend_from_slice(b"\r\n");
         }
         if out.len() >= READ_BYTES {
@@ -423,11 +423,11 @@
             out.clear();
         }
     }
-    if ending == ResponseFraming::Chunks {
+    if framing == ResponseFraming::Chunks {
         out.extend_from_slice(b"0\r\n\r\n");
     }
     writer.write_all(&out).await?;
-    Ok(ending)
+    Ok(framing)
 }
 
 /// Closes a connection so that the caller still receives the last response.
--- a/src/transport/relay/ingress.rs
+++ b/src/transport/relay/ingress.rs
@@ -120,7 +120,7 @@
 /// Delivers requests to the target on this host.
 pub struct Ingress {
     host: Arc<Host>,
-    inflow: UploadAdmission,
+    upload_admission: UploadAdmission,
     pool: Pool,
 }
 
@@ -161,7 +161,7 @@
     /// Returns the ingress side of `host`, with no connections yet.
     pub fn new(host: Arc<Host>) -> Arc<Self> {
         Arc::new(Self {
-            inflow: UploadAdmission::new(host.settings.bandwidth()),
+            upload_admission: UploadAdmission::new(host.settings.bandwidth()),
             host,
             pool: Pool::new(POOL),
         })
@@ -633,7 +633,7 @@
             .check(arrival)
             .map_err(Refused::before_arrival)?;
         let slack = link_share::body_slack(arrival, Instant::now());
-        let reservation = self.inflow.reserve(length, slack);
+        let reservation = self.upload_admission.reserve(length, slack);
         let refused =
             |wait| Refused::before_arrival(Refusal::not_run(LINK_FULL, Span::from_duration(wait)));
         let _reservation = reservation.map_err(refused)?;
@@ -660,7 +660,7 @@
         let mut waited = Duration::ZERO;
         let read = async {
             let _link_permit = match is_offered {
-                true => self.inflow.wait_for_link(length).await,
+                true => self.upload_admission.wait_for_link(length).await,
                 false => None,
             };
             waited = since.elapsed();
--- a/standins/src/load/mod.rs
+++ b/standins/src/load/mod.rs
@@ -1,8 +1,8 @@
 //! A model of load: callers, nodes and targets over a virtual clock.
 //!
 //! It replays a load on the decisions of rilltrack itself: each node has its
-//! [`Balancer`], its [`Queue`] and its [`RetryBudget`], and each request its [`Attempts`]; the model
-//! doesn't reimplement them. There are no processes, sockets or threads, and a replay is
+//! [`Balancer`], its [`Queue`] and its [`RetryBudget`], and each request its [`Attempts`]; the
+//! model doesn't reimplement them. There are no processes, sockets or threads, and a replay is
 //! deterministic: the same seed gives identical figures.
 //!
 //! Not modelled are processors, memory, the store, versions, and the delay of small messages
