--- a/src/coordination/decision/runs.rs
+++ b/src/coordination/decision/runs.rs
@@ -17,9 +17,9 @@
 /// for is_repeat in [false, false, false, true] {
 ///     runs.start(is_repeat);
 /// }
-/// assert_eq!(runs.repeats(), 0.25);
+/// assert_eq!(runs.repeat_share(), 0.25);
 /// runs.end(true);
-/// assert_eq!(runs.repeats(), 0.0);
+/// assert_eq!(runs.repeat_share(), 0.0);
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Runs {
--- a/src/journal.rs
+++ b/src/journal.rs
@@ -47,7 +47,7 @@
 ///
 /// let journal = Journal::start("a1");
 /// journal.write(Event::Ready, format_args!("version=0.12"));
-/// assert_eq!(journal.lost(), 0);
+/// assert_eq!(journal.dropped(), 0);
 /// journal.stop();
 /// ```
 #[derive(Clone, Debug)]
