--- a/src/coordination/gossip.rs
+++ b/src/coordination/gossip.rs
@@ -198,7 +198,7 @@
             .chain(&near)
             .zip(seed_news.into_iter().chain(near_news));
         let mut sources: Vec<_> = all
-            .filter_map(|(peer, news)| Some((news.ok()?.version, *peer)))
+            .filter_map(|(peer, ping_body)| Some((ping_body.ok()?.version, *peer)))
             .collect();
         sources.sort_by(|a, b| b.cmp(a));
         sources
@@ -211,7 +211,7 @@
 
     fn probe_peers(&self) -> Vec<Arc<Member>> {
         let settings = &self.node.settings;
-        rank::partners(&self.node.table.read(), &settings.domain, &settings.node)
+        rank::probe_peers(&self.node.table.read(), &settings.domain, &settings.node)
     }
 
     /// Does the work of one period: probes, pings to other failure domains, expiry and
@@ -262,7 +262,7 @@
             return;
         }
         let held = self.node.table.read().get(&member.node).cloned();
-        let Some(held) = held.filter(|held| held.stamp() == member.stamp()) else {
+        let Some(held) = held.filter(|held| held.precedence() == member.precedence()) else {
             return;
         };
         if matches!(held.status, Status::Alive | Status::Leaving) {
@@ -271,7 +271,7 @@
             } else {
                 Status::Suspect
             };
-            self.node.absorb(vec![Member {
+            self.node.merge_members(vec![Member {
                 status,
                 ..held.as_ref().clone()
             }]);
@@ -325,7 +325,7 @@
         let suspect_for = self.node.settings.membership.suspect_for.duration();
         if member.status == Status::Suspect && elapsed >= suspect_for {
             let status = Status::Gone;
-            self.node.absorb(vec![Member {
+            self.node.merge_members(vec![Member {
                 status,
                 ..member.clone()
             }]);
@@ -357,7 +357,8 @@
 
     fn remote_peer(&self) -> Option<SocketAddr> {
         let settings = &self.node.settings;
-        let remote = rank::far_partners(&self.node.table.read(), &settings.domain, &settings.node);
+        let remote =
+            rank::remote_probe_peers(&self.node.table.read(), &settings.domain, &settings.node);
         fastrand::choice(remote).map(|member| member.peers)
     }
 
@@ -378,7 +379,7 @@
     /// Compares the whole member table with that of `peer` and exchanges the differences
     /// in both directions; returns whether `peer` answered.
     async fn sync_with(&self, peer: SocketAddr) -> bool {
-        let mine = self.node.table.read().marks().to_vec();
+        let mine = self.node.table.read().bucket_hashes().to_vec();
         let max_wait = Span::from_secs(2);
         let reply = (self.call)(peer, Frame::Sync(mine), max_wait).await;
         let Ok(Reply::Members { marks, members }) = reply else {
@@ -389,16 +390,16 @@
             let is_known = |m: &Member| {
                 members
                     .iter()
-                    .any(|other| other.node == m.node && other.stamp() >= m.stamp())
+                    .any(|other| other.node == m.node && other.precedence() >= m.precedence())
             };
             table
-                .differing(&marks)
+                .in_differing_buckets(&marks)
                 .into_iter()
                 .filter(|m| !is_known(m))
                 .map(|m| m.as_ref().clone())
                 .collect()
         };
-        self.node.absorb(members);
+        self.node.merge_members(members);
         if !lacking.is_empty() {
             // If the message is lost, the next comparison finds the same differences.
             let _ = (self.call)(peer, Frame::Tell(lacking), max_wait).await;
@@ -411,7 +412,7 @@
     }
 }
 
-/// Pings `peer`, applies the news in its reply and returns them; catches up in the
+/// Pings `peer`, applies the updates in its reply and returns them; catches up in the
 /// background if `peer` is ahead.
 ///
 /// # Errors
@@ -419,17 +420,17 @@
 /// If `peer` does not answer, or not with a [`Reply::Pong`].
 pub async fn ping(node: &Arc<Node>, call: &Call, peer: SocketAddr) -> Result<PingBody, Error> {
     let timeout = node.settings.membership.timeout;
-    let reply = call(peer, Frame::Ping(news(node)), timeout).await?;
-    let Reply::Pong(news) = reply else {
+    let reply = call(peer, Frame::Ping(outgoing_updates(node)), timeout).await?;
+    let Reply::Pong(ping_body) = reply else {
         return Err(Error::Unexpected(peer.to_string()));
     };
-    apply_news(node, call, news.clone());
-    Ok(news)
+    apply_news(node, call, ping_body.clone());
+    Ok(ping_body)
 }
 
 /// Returns this node's version and its next member updates, for a ping or the reply to
 /// one.
-pub fn news(node: &Arc<Node>) -> PingBody {
+pub fn outgoing_updates(node: &Arc<Node>) -> PingBody {
     let members = node.table.read().len();
     PingBody {
         node: node.settings.node.clone(),
@@ -439,20 +440,20 @@
     }
 }
 
-/// Merges the member updates in a peer's news; catches up in the background if the peer
+/// Merges the member updates in a peer's ping body; catches up in the background if the peer
 /// is ahead.
-pub fn apply_news(node: &Arc<Node>, call: &Call, news: PingBody) {
-    node.absorb(news.members);
+pub fn apply_news(node: &Arc<Node>, call: &Call, ping_body: PingBody) {
+    node.merge_members(ping_body.members);
     let held = node.version();
-    if news.version == held {
+    if ping_body.version == held {
         node.mark_current();
     }
-    if news.version > held && node.view.load().is_some() {
+    if ping_body.version > held && node.view.load().is_some() {
         tokio::spawn(fetch_later(
             node.clone(),
             call.clone(),
-            news.peers,
-            news.version,
+            ping_body.peers,
+            ping_body.version,
         ));
     }
 }
@@ -469,22 +470,23 @@
 ///
 /// If this node holds the sender as suspect or gone, the reply includes that record, so
 /// that the sender can refute it.
-pub fn answer(node: &Arc<Node>, call: &Call, from: PingBody) -> Reply {
+pub fn answer_ping(node: &Arc<Node>, call: &Call, from: PingBody) -> Reply {
     let sender = from.node.clone();
     apply_news(node, call, from);
-    let mut news = news(node);
+    let mut ping_body = outgoing_updates(node);
     let held = node.table.read().get(&sender).cloned();
     let suspected = held.filter(|member| matches!(member.status, Status::Suspect | Status::Gone));
-    news.members
+    ping_body
+        .members
         .extend(suspected.map(|member| member.as_ref().clone()));
-    Reply::Pong(news)
+    Reply::Pong(ping_body)
 }
 
 /// Sends this node's own record to `count` random members at once.
 ///
 /// If it waited for the next ping, the node would still be sent work that it no longer
 /// accepts.
-pub async fn tell_at_once(node: &Arc<Node>, call: &Call, count: usize) {
+pub async fn announce_now(node: &Arc<Node>, call: &Call, count: usize) {
     let me = node.me();
     let mut peers: Vec<SocketAddr> = {
         let table = node.table.read();
--- a/src/coordination/follow.rs
+++ b/src/coordination/log_reader.rs
@@ -51,7 +51,7 @@
 }
 
 /// The task that reads the log while this node is a reader.
-pub struct Follow {
+pub struct LogReader {
     node: Arc<Node>,
     call: Call,
     log: Log,
@@ -63,7 +63,7 @@
     scatter_from: Option<Version>,
 }
 
-impl Follow {
+impl LogReader {
     /// Returns the task for `node`.
     pub fn new(node: Arc<Node>, call: Call, log: Log) -> Self {
         Self {
@@ -103,7 +103,7 @@
 
     fn place(&self) -> usize {
         let settings = &self.node.settings;
-        rank::reader(&self.node.table.read(), &settings.domain, &settings.node)
+        rank::reader_rank(&self.node.table.read(), &settings.domain, &settings.node)
     }
 
     fn note_role(&mut self, place: usize) {
@@ -169,7 +169,11 @@
     ///
     /// A node without a view does not wait.
     async fn read(&mut self, place: usize) -> Result<Progress, Error> {
-        let held = self.node.applier.look(|machine| machine.version()).await?;
+        let held = self
+            .node
+            .applier
+            .inspect(|machine| machine.version())
+            .await?;
         let wait = if self.node.view.load().is_some() {
             self.node.settings.log.wait
         } else {
@@ -188,11 +192,11 @@
         }
         let next = batch.next;
         let from = *self.scatter_from.get_or_insert(held);
-        let applied = self.node.applier.records(held, batch.records).await?;
+        let applied = self.node.applier.apply_records(held, batch.records).await?;
         self.node.set_log_fault(None);
         if applied.offset >= next {
             self.node.mark_current();
-            self.node.applier.complete().await?;
+            self.node.applier.mark_complete().await?;
             // Scatters all batches since `from`: earlier ones may not have reached the
             // end of the log.
             self.scatter(from, place).await;
@@ -224,7 +228,7 @@
         let records = self
             .node
             .applier
-            .look(move |machine| machine.records(before))
+            .inspect(move |machine| machine.records(before))
             .await;
         let load = match records {
             Ok(Some(records)) => Payload::Records {
@@ -245,8 +249,12 @@
         let (node, call) = (self.node.clone(), self.call.clone());
         // Runs in the background, so that a slow member does not delay the next read.
         tokio::spawn(async move {
-            let census = scatter::scatter(call, node.peers, load, slice).await;
-            let (current, behind, silent) = (census.current, census.behind, census.silent);
+            let version_count = scatter::scatter(call, node.peers, load, slice).await;
+            let (current, behind, silent) = (
+                version_count.current,
+                version_count.behind,
+                version_count.silent,
+            );
             let details =
                 format_args!("version={version} current={current} behind={behind} silent={silent}");
             node.journal.write(Event::Spread, details);
@@ -278,7 +286,7 @@
             );
             return Err(Error::Unexpected(what));
         }
-        self.node.applier.snapshot(bytes).await?;
+        self.node.applier.load_snapshot(bytes).await?;
         Ok(())
     }
 
@@ -343,7 +351,11 @@
 /// # Errors
 ///
 /// Only if the daemon is ending.
-pub async fn take(node: &Arc<Node>, call: &Call, scatter: Scatter) -> Result<Reply, Error> {
+pub async fn receive_scatter(
+    node: &Arc<Node>,
+    call: &Call,
+    scatter: Scatter,
+) -> Result<Reply, Error> {
     let Scatter {
         from,
         payload,
@@ -357,15 +369,15 @@
         Payload::Count { version } => *version,
     };
     let relayed = scatter::scatter(call.clone(), node.peers, payload.clone(), recipients);
-    let (is_current, mut census) =
+    let (is_current, mut version_count) =
         tokio::join!(apply_load(node, call, from, payload, wanted), relayed);
     if is_current {
-        census.current += 1;
+        version_count.current += 1;
     } else {
-        census.behind += 1;
-        census.add_named(node.peers);
+        version_count.behind += 1;
+        version_count.add_named(node.peers);
     }
-    Ok(Reply::Counted(census))
+    Ok(Reply::Counted(version_count))
 }
 
 /// Puts the records of `payload` in force on this node; returns whether `wanted` is in
@@ -382,7 +394,7 @@
         records,
     } = payload
     {
-        let applied = node.applier.records(base, records).await;
+        let applied = node.applier.apply_records(base, records).await;
         if applied.is_err() && node.view.load().is_some() {
             // Records before these are missing; the sender has them.
             let _ = catchup::from_peer(node, call, from).await;
@@ -402,7 +414,7 @@
 }
 
 /// Fetches from random peers until this node has a view.
-pub async fn until_complete(node: Arc<Node>, call: Call) {
+pub async fn fetch_until_complete(node: Arc<Node>, call: Call) {
     while node.view.load().is_none() {
         let peer = {
             let table = node.table.read();
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -18,7 +18,7 @@
 //! * [`catchup`]: how a node that is behind catches up;
 //! * [`publish`]: publishes an operator's changes through the log;
 //! * [`pick`], [`health`], [`budget`]: target selection and retries;
-//! * [`admit`], [`door`], [`once`]: admission to a target, at most once per key.
+//! * [`admission`], [`limiter`], [`idempotency`]: admission to a target, at most once per key.
 //!
 //! A host process uses other parts:
 //!
@@ -37,22 +37,22 @@
 //! This layer opens no sockets. Its input and output are closures that the caller passes
 //! in, so that tests can replace them with small fakes.
 
-pub mod admit;
+pub mod admission;
 pub mod apply;
 pub mod budget;
 pub mod catchup;
 pub mod decision;
-pub mod door;
 pub mod flow;
-pub mod follow;
 pub mod gate;
 pub mod gossip;
 pub mod health;
 pub mod host;
+pub mod idempotency;
 pub mod interface;
+pub mod limiter;
 pub mod local;
+pub mod log_reader;
 pub mod node;
-pub mod once;
 
 pub mod pick;
 pub mod presence;
--- a/src/transport/peers.rs
+++ b/src/transport/peers.rs
@@ -7,7 +7,7 @@
 use salvo::{Depot, FlowCtrl, Handler, Request, Response, Router, http::ResBody};
 
 use crate::{
-    coordination::{Error, catchup, follow, gossip, interface::Call, node::Node},
+    coordination::{Error, catchup, gossip, interface::Call, log_reader, node::Node},
     metrics::{Metrics, RECEIVED, SENT},
     protocol::wire::{self, Frame, Reply},
     state::member::Member,
@@ -146,24 +146,24 @@
     async fn reply(&self, sender: &Identity, frame: Frame) -> Result<Reply, Error> {
         let Self { node, call } = self;
         match frame {
-            Frame::Ping(news) if news.node != sender.node => {
+            Frame::Ping(ping_body) if ping_body.node != sender.node => {
                 Err(Error::Unexpected(sender.node.to_string()))
             }
-            Frame::Ping(mut news) => {
-                news.members.retain(|member| is_honest(member, sender));
-                Ok(gossip::answer(node, call, news))
+            Frame::Ping(mut ping_body) => {
+                ping_body.members.retain(|member| is_honest(member, sender));
+                Ok(gossip::answer_ping(node, call, ping_body))
             }
             Frame::PingFor(peer) => {
                 Ok(Reply::Reached(gossip::ping(node, call, peer).await.is_ok()))
             }
-            Frame::Sync(marks) => Ok(self.compare(&marks)),
+            Frame::Sync(hashes) => Ok(self.compare(&hashes)),
             Frame::Tell(mut members) => {
                 members.retain(|member| is_honest(member, sender));
-                node.absorb(members);
+                node.merge_members(members);
                 Ok(Reply::Done)
             }
-            Frame::Fetch(from) => catchup::serve(node, from).await,
-            Frame::Scatter(scatter) => follow::take(node, call, scatter).await,
+            Frame::Fetch(from) => catchup::answer_fetch(node, from).await,
+            Frame::Scatter(scatter) => log_reader::receive_scatter(node, call, scatter).await,
         }
     }
 
@@ -194,16 +194,16 @@
         }
     }
 
-    /// Returns the members that differ from the hashes `marks` of a peer's table.
-    fn compare(&self, marks: &[u32]) -> Reply {
+    /// Returns the members that differ from the `hashes` of a peer's table.
+    fn compare(&self, hashes: &[u32]) -> Reply {
         let table = self.node.table.read();
         let members = table
-            .differing(marks)
+            .in_differing_buckets(hashes)
             .into_iter()
             .map(|member| member.as_ref().clone())
             .collect();
         Reply::Members {
-            marks: table.marks().to_vec(),
+            marks: table.bucket_hashes().to_vec(),
             members,
         }
     }
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -49,11 +49,11 @@
         selector::Labels,
     },
     transport::relay::{
-        body::{self, Body, Read},
-        codec::{self, Decoder, Framing, Piece},
-        offer::{self, Inflow},
+        body::{self, Body, ReadResult},
+        codec::{self, Decoded, Decoder, Framing},
+        offer::{self, UploadAdmission},
         pool::{self, Failure, Pool},
-        serve::{self, Handler, Phase, Server, Whose},
+        serve::{self, ClientKind, Handler, Phase, Server},
     },
     unit::{Size, Span},
 };
@@ -254,7 +254,7 @@
             PeerRequest::Routes(_) => {
                 let delta = table(vec![route("r", "h", "/", &[("a", 1)])])
                     .unwrap()
-                    .since(None);
+                    .delta_since(None);
                 rmp_serde::to_vec(&delta).unwrap()
             }
             _ => rmp_serde::to_vec_named(&Progress {
@@ -332,7 +332,7 @@
 
 /// Serves `handler` on a free port until the test ends; returns the address and the phase.
 async fn serve(
-    whose: Whose,
+    client: ClientKind,
     limits: Limits,
     handler: Handler,
 ) -> (SocketAddr, watch::Sender<Phase>) {
@@ -340,12 +340,12 @@
     let address = listener.local_addr().unwrap();
     let (phase, seen) = watch::channel(Phase::Serving);
     let server = Server {
-        whose,
+        client,
         handler,
         limits: Arc::new(move || limits),
         phase: seen,
-        most: 100,
-        open: Arc::default(),
+        max_connections: 100,
+        open_connections: Arc::default(),
     };
     tokio::spawn(async move { server.run(listener).await.unwrap() });
     (address, phase)
@@ -357,10 +357,10 @@
         async move {
             let path = request.uri().path().to_owned();
             match body::read(request.into_body(), 1 << 20, Duration::from_secs(5)).await {
-                Ok(Read::Whole(bytes)) => {
+                Ok(ReadResult::Whole(bytes)) => {
                     Response::new(Body::whole([path.as_bytes(), b"=", &bytes].concat()))
                 }
-                Ok(Read::Start(..)) => Response::new(Body::whole("long")),
+                Ok(ReadResult::Partial(..)) => Response::new(Body::whole("long")),
                 Err(error) => Response::new(Body::whole(error.to_string())),
             }
         }
@@ -437,14 +437,14 @@
                 routes.push(r);
             }
             let whole = routing::Table::new(version, routes, vec![name("a")], Limits::default()).unwrap();
-            let delta = whole.since(previous.as_ref());
+            let delta = whole.delta_since(previous.as_ref());
             let bytes = rmp_serde::to_vec(&delta).unwrap();
             let decoded = rmp_serde::from_slice(&bytes).unwrap();
-            let updated = routing::Table::after(previous.as_ref(), decoded).unwrap();
-            assert_eq!(updated.since(None), whole.since(None));
+            let updated = routing::Table::apply_delta(previous.as_ref(), decoded).unwrap();
+            assert_eq!(updated.delta_since(None), whole.delta_since(None));
             // A delta from another version is rejected.
             let mismatched = routing::Delta { base: version + 7, ..delta };
-            assert!(matches!(routing::Table::after(previous.as_ref(), mismatched), Err(routing::Error::Base { .. })));
+            assert!(matches!(routing::Table::apply_delta(previous.as_ref(), mismatched), Err(routing::Error::Base { .. })));
             previous = Some(updated);
         }
     }
@@ -459,7 +459,7 @@
             .collect();
         let predecessors = |of: &Member, excluded: &[&str]| {
             let ranked = list.iter().filter(|m| !excluded.contains(&m.node.as_str()));
-            rank::before(ranked, "reader", &of.node, of.bandwidth)
+            rank::predecessors(ranked, "reader", &of.node, of.bandwidth)
         };
         let first: Vec<_> = list.iter().filter(|m| predecessors(m, &[]).is_empty()).collect();
         let [first] = first[..] else { panic!("more or less than one node is first") };
@@ -1236,9 +1236,9 @@
                 received.extend_from_slice(part);
                 while !has_ended {
                     match decoder.next(&mut received).unwrap() {
-                        Piece::Data(data) => whole.extend_from_slice(&data),
-                        Piece::Nothing => break,
-                        Piece::End => has_ended = true,
+                        Decoded::Data(data) => whole.extend_from_slice(&data),
+                        Decoded::Incomplete => break,
+                        Decoded::End => has_ended = true,
                     }
                 }
             }
@@ -1287,12 +1287,12 @@
             }
             .boxed()
         });
-        let (address, _phase) = serve(Whose::Callers, Limits::default(), handler).await;
+        let (address, _phase) = serve(ClientKind::Callers, Limits::default(), handler).await;
         let get = |path| {
             let last = if path == "c" { "connection: close\r\n" } else { "" };
             format!("GET /{path} HTTP/1.1\r\nhost: x\r\n{last}\r\n")
         };
-        let answer = raw::until_closed(address, [get("a"), get("b"), get("c")].concat().as_bytes()).await;
+        let answer = raw::exchange_until_closed(address, [get("a"), get("b"), get("c")].concat().as_bytes()).await;
         let bodies: Vec<&str> = answer.lines().filter(|l| l.starts_with('[')).collect();
         assert_eq!(bodies.len(), 3, "{answer}");
         let position = |text| answer.find(text).unwrap();
@@ -1300,12 +1300,12 @@
     }
 
     pipelined_requests_keep_their_bodies => {
-        let (address, _phase) = serve(Whose::Callers, Limits::default(), echo()).await;
+        let (address, _phase) = serve(ClientKind::Callers, Limits::default(), echo()).await;
         let sent = "GET /a HTTP/1.1\r\nhost: x\r\n\r\n\
                     POST /b HTTP/1.1\r\nhost: x\r\ncontent-length: 3\r\n\r\nxyz\
                     POST /c HTTP/1.1\r\nhost: x\r\ntransfer-encoding: chunked\r\n\r\n2\r\nuv\r\n0\r\n\r\n\
                     GET /d HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-        let answer = raw::until_closed(address, sent.as_bytes()).await;
+        let answer = raw::exchange_until_closed(address, sent.as_bytes()).await;
         for part in ["/a=", "/b=xyz", "/c=uv", "/d="] {
             assert!(answer.contains(part), "{part} is missing in {answer}");
         }
@@ -1336,41 +1336,41 @@
         std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
             runtime.block_on(async {
-                let (address, _phase) = serve(Whose::Callers, Limits::default(), handler).await;
+                let (address, _phase) = serve(ClientKind::Callers, Limits::default(), handler).await;
                 sender.send(address).unwrap();
                 std::future::pending::<()>().await;
             });
         });
         let address = address.recv().unwrap();
         let post = "POST / HTTP/1.1\r\nhost: x\r\nconnection: close\r\ncontent-length: 3\r\n\r\nabc";
-        let posted = tokio::spawn(async move { raw::until_closed(address, post.as_bytes()).await });
+        let posted = tokio::spawn(async move { raw::exchange_until_closed(address, post.as_bytes()).await });
         let mut was_dropped = was_dropped;
         was_dropped.recv().await.unwrap();
         let get = "GET / HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-        let answer = raw::until_closed(address, get.as_bytes()).await;
+        let answer = raw::exchange_until_closed(address, get.as_bytes()).await;
         assert!(answer.ends_with("done"), "{answer}");
         let answer = posted.await.unwrap();
         assert!(answer.ends_with("done"), "{answer}");
     }
 
     invalid_request_gets_400_and_a_close => {
-        let (address, _phase) = serve(Whose::Callers, Limits::default(), echo()).await;
-        let answer = raw::until_closed(address, b"\x16\x03\x01 no http\r\n\r\n").await;
+        let (address, _phase) = serve(ClientKind::Callers, Limits::default(), echo()).await;
+        let answer = raw::exchange_until_closed(address, b"\x16\x03\x01 no http\r\n\r\n").await;
         assert!(answer.starts_with("HTTP/1.1 400 ") && answer.contains("connection: close"), "{answer}");
     }
 
     head_beyond_the_limit_gets_431 => {
         let limits = Limits { head: Size::from_bytes(1024), ..Limits::default() };
-        let (address, _phase) = serve(Whose::Callers, limits, echo()).await;
+        let (address, _phase) = serve(ClientKind::Callers, limits, echo()).await;
         let long = format!("GET / HTTP/1.1\r\nhost: x\r\na: {}", "b".repeat(4000));
-        let answer = raw::until_closed(address, long.as_bytes()).await;
+        let answer = raw::exchange_until_closed(address, long.as_bytes()).await;
         assert!(answer.starts_with("HTTP/1.1 431 "), "{answer}");
     }
 
     head_that_never_ends_gets_408 => {
         let limits = Limits { head_timeout: Span::from_millis(50), ..Limits::default() };
-        let (address, _phase) = serve(Whose::Callers, limits, echo()).await;
-        let answer = raw::until_closed(address, b"GET / HTTP/1.1\r\nhost: x\r\n").await;
+        let (address, _phase) = serve(ClientKind::Callers, limits, echo()).await;
+        let answer = raw::exchange_until_closed(address, b"GET / HTTP/1.1\r\nhost: x\r\n").await;
         assert!(answer.starts_with("HTTP/1.1 408 "), "{answer}");
     }
 
@@ -1392,7 +1392,7 @@
             }
             .boxed()
         });
-        let (address, _phase) = serve(Whose::Callers, Limits::default(), handler).await;
+        let (address, _phase) = serve(ClientKind::Callers, Limits::default(), handler).await;
         let stream = tokio::net::TcpStream::connect(address).await.unwrap();
         let twice = b"GET / HTTP/1.1\r\nhost: x\r\n\r\nGET / HTTP/1.1\r\nhost: x\r\n\r\n";
         stream.writable().await.unwrap();
@@ -1413,9 +1413,9 @@
             }
             .boxed()
         });
-        let (address, phase) = serve(Whose::Callers, Limits::default(), handler).await;
+        let (address, phase) = serve(ClientKind::Callers, Limits::default(), handler).await;
         let response = tokio::spawn(async move {
-            raw::until_closed(address, b"GET / HTTP/1.1\r\nhost: x\r\n\r\n").await
+            raw::exchange_until_closed(address, b"GET / HTTP/1.1\r\nhost: x\r\n\r\n").await
         });
         support::until("the connection is open", || async {
             (phase.receiver_count() > 2).then_some(())
@@ -1585,10 +1585,10 @@
         let update_for = |marks: &[u32]| -> MembersUpdate<Member> {
             rmp_serde::from_slice(&source::members(&host, marks)).unwrap()
         };
-        let missing = update_for(peer_table.marks());
+        let missing = update_for(peer_table.bucket_hashes());
         assert!(missing.members.contains(&list[0]));
         assert!(missing.members.len() < 20, "{} of 300", missing.members.len());
-        assert!(update_for(host.members.read().marks()).members.is_empty());
+        assert!(update_for(host.members.read().bucket_hashes()).members.is_empty());
         assert_eq!(update_for(&[]).members.len(), 300, "a peer without members is sent all");
     }
 
@@ -1609,7 +1609,7 @@
         until_gone(&host, "n1").await;
         let members = host.members.read().clone();
         assert_eq!(members.get(&"n2".parse().unwrap()).unwrap().status, Status::Alive);
-        assert_eq!(members.offers(&name("a")).len(), 1);
+        assert_eq!(members.providers(&name("a")).len(), 1);
 
         // If the node itself is reported gone by mistake, it publishes that it is alive.
         let me = members.get(&"me".parse().unwrap()).unwrap();
@@ -1617,7 +1617,7 @@
         host.merge_member(gone.clone(), "reader");
         let republished = written_members.recv().await.unwrap();
         assert_eq!((republished.node.as_str(), republished.status), ("me", Status::Alive));
-        assert!(republished.stamp() > gone.stamp());
+        assert!(republished.precedence() > gone.precedence());
     }
 
     first_version_comes_from_a_higher_ranked_node_and_not_from_the_store => {
@@ -1668,7 +1668,7 @@
         for _ in 0..5 {
             let exchange = get(&pool, address).await.unwrap();
             let read = body::read(exchange.response.into_body(), 100, Duration::from_secs(5)).await;
-            let Ok(Read::Whole(bytes)) = read else { panic!("the body could not be read whole") };
+            let Ok(ReadResult::Whole(bytes)) = read else { panic!("the body could not be read whole") };
             assert_eq!(&bytes[..], b"1");
             pool.put_back(exchange.connection);
         }
@@ -1683,16 +1683,16 @@
             let (address, seen) = raw::target(move |_| Some(answer.clone())).await;
             let exchange = get(&pool, address).await.unwrap();
             let read = body::read(exchange.response.into_body(), 100, Duration::from_secs(5)).await;
-            assert!(matches!(read, Ok(Read::Whole(_))));
+            assert!(matches!(read, Ok(ReadResult::Whole(_))));
             pool.put_back(exchange.connection);
             addresses.push((address, seen));
-            assert!(pool.unused() <= POOL.total);
+            assert!(pool.idle_count() <= POOL.max_idle);
         }
-        assert_eq!(pool.unused(), POOL.total);
-        pool.forget(addresses[0].0);
-        assert_eq!(pool.unused(), POOL.total, "the oldest connections were closed already");
-        pool.forget(addresses[19].0);
-        assert_eq!(pool.unused(), POOL.total - 1);
+        assert_eq!(pool.idle_count(), POOL.max_idle);
+        pool.close_idle(addresses[0].0);
+        assert_eq!(pool.idle_count(), POOL.max_idle, "the oldest connections were closed already");
+        pool.close_idle(addresses[19].0);
+        assert_eq!(pool.idle_count(), POOL.max_idle - 1);
     }
 
     offered_body_is_sent_only_after_100_continue => {
@@ -1716,17 +1716,17 @@
         let exchange = pool.send(address, request, until).await.unwrap();
         assert_eq!(exchange.response.status(), 503);
         drop(exchange);
-        assert!(offer.take_back());
+        assert!(offer.withdraw());
         assert_eq!(rest.await.unwrap(), 0);
-        let (address, _phase) = serve(Whose::Others, Limits::default(), echo()).await;
+        let (address, _phase) = serve(ClientKind::Internal, Limits::default(), echo()).await;
         for length in [15 << 10, 200 << 10] {
             let request = Request::new(Body::whole(vec![b'x'; length]));
             let until = Instant::now() + Duration::from_secs(5);
             let (request, offer) = offer::offer(request);
             let exchange = pool.send(address, request, until).await.unwrap();
-            assert!(offer.is_taken() && !offer.take_back());
+            assert!(offer.is_accepted() && !offer.withdraw());
             let read = body::read(exchange.response.into_body(), 1 << 20, Duration::from_secs(5)).await;
-            let Ok(Read::Whole(bytes)) = read else { panic!("the response could not be read whole") };
+            let Ok(ReadResult::Whole(bytes)) = read else { panic!("the response could not be read whole") };
             assert_eq!(bytes.len(), "/=".len() + length);
             pool.put_back(exchange.connection);
         }
@@ -1734,18 +1734,18 @@
 
     concurrent_large_bodies_are_limited_by_the_link => {
         // 20 Mbit/s carry 183 KiB in 75 ms.
-        let narrow = Inflow::new(20);
-        let first = narrow.enter(Some(120 << 10)).await;
-        assert!(narrow.enter(Some(100 << 10)).now_or_never().is_none());
-        assert!(narrow.enter(None).now_or_never().is_none());
+        let narrow = UploadAdmission::new(20);
+        let first = narrow.wait_for_link(Some(120 << 10)).await;
+        assert!(narrow.wait_for_link(Some(100 << 10)).now_or_never().is_none());
+        assert!(narrow.wait_for_link(None).now_or_never().is_none());
         drop(first);
-        let second = narrow.enter(Some(100 << 10)).now_or_never();
+        let second = narrow.wait_for_link(Some(100 << 10)).now_or_never();
         assert!(second.is_some());
         drop(second);
         // A body larger than the whole limit is let in once it is alone.
-        assert!(narrow.enter(Some(10 << 20)).now_or_never().is_some());
-        let unknown = Inflow::new(0);
-        assert!(unknown.enter(Some(10 << 20)).now_or_never().is_some());
+        assert!(narrow.wait_for_link(Some(10 << 20)).now_or_never().is_some());
+        let unknown = UploadAdmission::new(0);
+        assert!(unknown.wait_for_link(Some(10 << 20)).now_or_never().is_some());
     }
 
     refused_connection_sent_nothing_and_a_broken_one_may_have => {
@@ -1760,10 +1760,10 @@
 }
 
 const POOL: pool::Settings = pool::Settings {
-    connect: Duration::from_secs(5),
-    keep: Duration::from_secs(60),
-    kept: 4,
-    total: 6,
+    connect_timeout: Duration::from_secs(5),
+    idle_timeout: Duration::from_secs(60),
+    max_idle_per_address: 4,
+    max_idle: 6,
 };
 
 async fn get(
