--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -6,7 +6,7 @@
 //!
 //! * [`apply`]: applies log records and publishes views;
 //! * [`gossip`]: maintains the table of members;
-//! * [`follow`]: reads the log for the failure domain and distributes its records;
+//! * [`log_reader`]: reads the log for the failure domain and distributes its records;
 //! * [`snapshot`]: writes snapshots to the log.
 //!
 //! The tasks and the request path are built from:
