--- a/src/transport/relay/codec.rs
+++ b/src/transport/relay/codec.rs
@@ -12,7 +12,7 @@
 
 use crate::transport::relay::body::Body;
 
-/// The most headers of a request. Callers of both meshes send about ten.
+/// The most headers of a request. Callers send about ten.
 const MAX_HEADERS: usize = 100;
 
 /// The longest line of a chunk's size and extensions (which are ignored), and
--- a/src/transport/relay/control.rs
+++ b/src/transport/relay/control.rs
@@ -1,5 +1,6 @@
 //! Everything that a host process serves besides callers' requests: requests of
-//! peers and operators, calls of the target, readiness checks and metrics.
+//! peers and operators, heartbeats and leave calls of the target, readiness checks
+//! and metrics.
 
 use std::{
     net::SocketAddr,
@@ -48,18 +49,19 @@
 /// How long a peer may take to respond, which it does from memory.
 const PEER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The largest message from a peer, in bytes: the members of a fleet of 13,000 take 400 bytes
+/// The largest message from a peer, in bytes: the members of a mesh of 13,000 take 400 bytes
 /// each.
 const MAX_PEER_MESSAGE: usize = 8 << 20;
 
-/// The largest other request, in bytes; heartbeats of targets are a few hundred bytes.
+/// The largest request that is not from a peer, in bytes; heartbeats of targets have a few
+/// hundred.
 const MAX_CALL: usize = 16 << 10;
 
-/// How long the acknowledgement of a target's call waits until its state is written
-/// to the store. A target waits for 1 s in all.
+/// How long the response to a target's heartbeat or leave call waits until the target's
+/// state is in the store. The target waits 1 s for the response.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// The longest pause within the body of a target's call.
+/// The longest pause within the body of a target's heartbeat or leave call.
 const CALL_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The path that returns the routes to peers, as a change from the version that they have.
@@ -284,8 +286,8 @@
     };
     let is_leave = is_leaving || matches!(message, TargetCall::Leave(_));
     if is_leave && !is_recalled {
-        // The store may still list the target as ready, and this node has not yet
-        // restored its state. It will have when the target repeats the call.
+        // This node has not restored its state yet, and the store may still list the target
+        // as ready. By the time the target repeats the call, the state will be restored.
         return empty_response(StatusCode::SERVICE_UNAVAILABLE);
     }
     if is_leaving && !is_written(&host, &mut written).await {
@@ -296,7 +298,8 @@
     json_response(host.decoders.acknowledgement.clone())
 }
 
-/// Rejects an invalid call, or one of a target of another service, without a change of state.
+/// Rejects an invalid heartbeat or leave call, or one from a target of another service; the
+/// state stays unchanged.
 fn reject_call(host: &Host, why: &str) -> Response<Body> {
     host.count_unusable("heartbeat");
     note!(
--- a/src/transport/relay/egress.rs
+++ b/src/transport/relay/egress.rs
@@ -1,4 +1,4 @@
-//! Requests that enter the system at this host: from callers, which include its target.
+//! Requests that enter the system at this host. Their callers include the host's own target.
 
 use std::{
     sync::{
@@ -65,8 +65,8 @@
     pub service: Name,
     /// When the request arrived.
     pub arrived: Instant,
-    /// The probability that the request is a call made by a repeated run of the target on
-    /// this host.
+    /// The probability that the request was made by a run of the target on this host that is
+    /// itself a repeat.
     pub repeat_chance: f64,
     /// The due time of the route's objective, counted from the caller's first attempt.
     pub due: Instant,
@@ -155,6 +155,8 @@
         let (call, version) = match self.find_route(head, arrived) {
             Ok(found) => found,
             Err(refusal) => {
+                // `refusal_response` limits `retry-after` to a third of the time left. The
+                // deadline is unknown here, so this leaves the pause as it is.
                 return refusal_response(&refusal, NO_VERSION_RETRY_AFTER.duration() * 3);
             }
         };
--- a/src/transport/relay/http1_server.rs
+++ b/src/transport/relay/http1_server.rs
@@ -43,8 +43,8 @@
 /// The size of one read in bytes: several heads, or a tenth of an upload.
 const READ_BYTES: usize = 4 << 10;
 
-/// The capacity of the channel that passes a request body to its reader, in chunks.
-const QUEUED_CHUNKS: usize = 4;
+/// The capacity of the channel that passes a request body to its reader, in pieces.
+const QUEUED_PIECES: usize = 4;
 
 /// How long bytes are still read after the last response. Closing a connection with unread
 /// bytes resets it, and the caller would lose the response.
@@ -78,9 +78,9 @@
 /// A request body that is being decoded and passed to the handler.
 struct IncomingBody {
     decoder: Decoder,
-    /// `None` once the handler reads no further; later chunks are discarded.
-    chunks: Option<mpsc::Sender<Bytes>>,
-    /// The decoded chunk to pass on next. An empty one marks the end of the body.
+    /// `None` once the handler reads no further; later pieces are discarded.
+    pieces: Option<mpsc::Sender<Bytes>>,
+    /// The decoded piece to pass on next. An empty one marks the end of the body.
     next: Option<Bytes>,
 }
 
@@ -147,7 +147,7 @@
         let mut phase = self.front.phase.clone();
         loop {
             self.start_requests(writer).await?;
-            self.decode_chunk();
+            self.decode_piece();
             if self.bytes.is_empty() {
                 self.bytes = BytesMut::new();
             }
@@ -158,14 +158,14 @@
             let (deadline, is_idle) = self.read_deadline(&limits);
             let has_answers = !self.answers.is_empty();
             let max_bytes = READ_AHEAD_BYTES.max(limits.head.as_bytes() as usize);
-            let has_room = self.bytes.len() < max_bytes && !self.has_chunk();
+            let has_room = self.bytes.len() < max_bytes && !self.has_piece();
             let was_empty = self.bytes.is_empty();
             let is_closing = self.is_closing;
             tokio::select! {
                 Some(answer) = self.answers.next(), if has_answers => {
                     self.write_answer(writer, answer).await?;
                 }
-                () = pass_chunk(&mut self.incoming_body), if self.incoming_body.as_ref().is_some_and(|body| body.next.is_some()) => {}
+                () = pass_piece(&mut self.incoming_body), if self.incoming_body.as_ref().is_some_and(|body| body.next.is_some()) => {}
                 read = read(reader, &mut self.bytes), if has_room => {
                     if read? == 0 {
                         return Err(ConnectionEnd::Disconnected);
@@ -238,10 +238,10 @@
         } = head;
         let (method, version) = (request.method().clone(), request.version());
         let body = if has_body {
-            let (sender, receiver) = mpsc::channel(QUEUED_CHUNKS);
+            let (sender, receiver) = mpsc::channel(QUEUED_PIECES);
             self.incoming_body = Some(IncomingBody {
                 decoder: Decoder::new(framing),
-                chunks: Some(sender),
+                pieces: Some(sender),
                 next: None,
             });
             self.is_exclusive = true;
@@ -278,8 +278,8 @@
         }));
     }
 
-    /// Decodes the next chunk of the incoming body from the bytes read so far.
-    fn decode_chunk(&mut self) {
+    /// Decodes the next piece of the incoming body from the bytes read so far.
+    fn decode_piece(&mut self) {
         let Some(body) = &mut self.incoming_body else {
             return;
         };
@@ -289,9 +289,9 @@
         match body.decoder.next(&mut self.bytes) {
             Ok(Decoded::Data(bytes)) => body.next = Some(bytes),
             Ok(Decoded::Incomplete) => {}
-            // An empty chunk marks the end.
+            // An empty piece marks the end.
             Ok(Decoded::End) => body.next = Some(Bytes::new()),
-            // The channel is closed without an empty chunk, so the handler sees an aborted body.
+            // The channel is closed without an empty piece, so the handler sees an aborted body.
             Err(_) => {
                 self.incoming_body = None;
                 self.is_closing = true;
@@ -299,8 +299,8 @@
         }
     }
 
-    /// Returns whether a decoded chunk waits to be passed on.
-    fn has_chunk(&self) -> bool {
+    /// Returns whether a decoded piece waits to be passed on.
+    fn has_piece(&self) -> bool {
         self.incoming_body
             .as_ref()
             .is_some_and(|body| body.next.is_some())
@@ -349,32 +349,32 @@
     drop(phase.wait_for(|phase| *phase == Phase::Closing).await);
 }
 
-/// Passes the next chunk of a body to its reader.
+/// Passes the next piece of a body to its reader.
 ///
-/// Each call removes the chunk, even if there is no reader any more. Otherwise the loop of the
+/// Each call removes the piece, even if there is no reader any more. Otherwise the loop of the
 /// connection would retry it forever without yielding its thread.
-async fn pass_chunk(incoming_body: &mut Option<IncomingBody>) {
+async fn pass_piece(incoming_body: &mut Option<IncomingBody>) {
     let Some(body) = incoming_body else { return };
-    let has_reader = match (&body.chunks, &body.next) {
-        (Some(chunks), Some(chunk)) => send_chunk(chunks, chunk).await,
+    let has_reader = match (&body.pieces, &body.next) {
+        (Some(pieces), Some(piece)) => send_piece(pieces, piece).await,
         _ => false,
     };
     if !has_reader {
         // The reader has dropped its end of the channel.
-        body.chunks = None;
+        body.pieces = None;
     }
-    let is_end = body.next.take().is_some_and(|chunk| chunk.is_empty());
+    let is_end = body.next.take().is_some_and(|piece| piece.is_empty());
     if is_end {
         *incoming_body = None;
     }
 }
 
-/// Sends a chunk once the channel has room; returns whether the channel still has a reader.
-async fn send_chunk(chunks: &mpsc::Sender<Bytes>, chunk: &Bytes) -> bool {
-    let Ok(permit) = chunks.reserve().await else {
+/// Sends a piece once the channel has room; returns whether the channel still has a reader.
+async fn send_piece(pieces: &mpsc::Sender<Bytes>, piece: &Bytes) -> bool {
+    let Ok(permit) = pieces.reserve().await else {
         return false;
     };
-    permit.send(chunk.clone());
+    permit.send(piece.clone());
     true
 }
 
--- a/src/transport/relay/ingress.rs
+++ b/src/transport/relay/ingress.rs
@@ -52,7 +52,8 @@
 /// The reason of a refusal because the host's link can't carry the large answer in time.
 pub const LINK_BUSY: &str = "the link has no room for the answer";
 
-/// The reason of a refusal because the host's link can't carry the request body in time.
+/// The reason of a refusal because the host's link can't carry the request body in time, or
+/// because the deadline passed before the body arrived.
 pub const LINK_FULL: &str = "the link has no room for the body";
 
 /// The reason of a refusal by a node other than the one that the request is addressed to.
@@ -69,7 +70,7 @@
 /// The reason of a refusal because the target's process terminated during the request.
 pub const TARGET_CRASHED: &str = "target ended";
 
-/// The reason of a refusal because the retry budget has no room for the calls that one more
+/// The reason of a refusal because the retry budget does not cover the calls that one more
 /// repeat would make.
 pub const CALL_BUDGET_SPENT: &str = "no allowance is left for the calls of a repeat";
 
@@ -77,7 +78,7 @@
 /// as a first send, which needs no retry budget.
 const CALLS_RETRY_AFTER: Span = Span::from_millis(200);
 
-/// The terms on which a request is delivered to the target on this host.
+/// The parameters of a delivery to the target on this host.
 pub struct Delivery {
     /// The service that the request is for.
     pub service: Name,
@@ -95,7 +96,7 @@
     pub is_repeat: bool,
 }
 
-/// An attempt that failed without an answer of the target.
+/// An attempt that was refused or failed, so that it has no answer of the target.
 pub struct Refused {
     /// What is known about the request, and why it failed.
     pub refusal: Refusal,
@@ -198,7 +199,7 @@
             return Err(Refused::before_arrival(refusal));
         }
         if local::role(&self.host) == Role::Excluded {
-            // The target's release is not ordered, was rolled back, or fails as a canary.
+            // The target's release was not ordered, was rolled back, or is failing on trial.
             return Err(Refused::before_arrival(gate::no_target()));
         }
         let id = head.headers.get(&self.host.decoders.dialect.attempt_id);
@@ -264,8 +265,8 @@
         self.relay_response(delivery, permit, run, exchange).await
     }
 
-    /// Refuses a repeat if the retry budget of a service that its run calls has no room for
-    /// the repeated calls.
+    /// Refuses a repeat if its run would call a service whose retry budget does not cover the
+    /// repeated calls.
     fn check_call_budget(&self, delivery: &Delivery) -> Result<(), Refusal> {
         let nodes = self.host.nodes();
         let has_budget = || {
@@ -310,7 +311,8 @@
     }
 
     /// Reserves the link for a large answer, if the link can carry it in time after the
-    /// answers reserved before. Otherwise the target would run in vain.
+    /// answers reserved before. Without the reservation, the target could run a request
+    /// whose answer arrives too late.
     fn reserve_answer(&self, delivery: &Delivery) -> Result<Option<Arc<Reservation>>, Refusal> {
         if delivery.answer_size == 0 {
             return Ok(None);
@@ -611,10 +613,10 @@
     /// Reads a large offered body before the request takes a slot, if the link can carry it in
     /// time and the gate would admit the request now. Returns other bodies unread.
     ///
-    /// This keeps uploads over a slow link from occupying the slots. When the slot was taken
-    /// first, it was held while the body waited for the link and crossed it, several times as
-    /// long as the run, and calls that needed a slot for a few milliseconds were rejected: 45
-    /// to 54 of 90 slots were held where the runs themselves need 22.
+    /// This keeps uploads over a slow link from occupying the slots. A slot that was taken
+    /// first stayed occupied while the body waited for the link and was transferred, several
+    /// times as long as the run: 45 to 54 of 90 slots were occupied where the runs themselves
+    /// need 22. Calls that needed a slot for a few milliseconds were rejected.
     async fn read_large_body(
         &self,
         delivery: &Delivery,
@@ -697,8 +699,8 @@
         }
     }
 
-    /// Returns the terms on which a peer asks for a delivery; refuses if this node can't accept
-    /// it.
+    /// Returns the parameters of a delivery that a peer requests; refuses if this node can't
+    /// accept it.
     fn parse_delivery(&self, head: &request::Parts) -> Result<Delivery, Refusal> {
         let ask: hop::Request = http::parse(&head.headers, hop::HEADER)
             .ok_or_else(|| Refusal::rejected(400, "a node says what it asks for"))?;
--- a/src/transport/relay/io.rs
+++ b/src/transport/relay/io.rs
@@ -13,13 +13,13 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
-/// The most bytes taken by one read. Requests and responses of both meshes are
-/// 0.4 to 9 KB; uploads take several reads.
+/// The most bytes taken by one read. Ordinary requests and responses have 0.4 to
+/// 9 KB; uploads take several reads.
 const READ_SIZE: usize = 16 << 10;
 
 /// How long sent bytes may stay unacknowledged before the connection is closed:
-/// hundreds of round trips within a region, and short against deadlines, which
-/// are 1.5 s or more.
+/// hundreds of round trips within a region, but less than the deadlines of
+/// requests, which are 1.5 s or more.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// How long a connection may be idle before the first TCP keepalive probe, and
--- a/src/transport/relay/mod.rs
+++ b/src/transport/relay/mod.rs
@@ -33,8 +33,8 @@
     transport::{http, relay::body::Body},
 };
 
-/// The largest body that is buffered whole, in bytes. Uploads of both meshes
-/// are smaller, and 100 such bodies at once take a fifth of a process's memory.
+/// The largest body that is buffered whole, in bytes. Ordinary uploads are smaller,
+/// and 100 bodies of this size at a time take a fifth of a process's memory.
 pub const MAX_BUFFERED_BODY: usize = 512 << 10;
 
 /// Headers that a node handles itself and never forwards.
--- a/src/transport/relay/offer.rs
+++ b/src/transport/relay/offer.rs
@@ -5,7 +5,7 @@
 //!
 //! * Large ones ([`is_large`](crate::coordination::decision::balance::is_large)); smaller ones
 //!   fit into the first packets of a connection. A body that a node refuses after receiving it
-//!   costs the link as much as one that is served. When several nodes are tried in turn, slow
+//!   takes as much of the link as one that is served. When several nodes are tried in turn, slow
 //!   links fill up with refused uploads, and heartbeats and configuration changes wait behind
 //!   them.
 //! * Those of requests that may run only once. As long as the body has not been sent, the
@@ -27,8 +27,8 @@
 };
 
 /// The maximum time for which the bodies admitted at a time may occupy the link. Small messages
-/// wait behind them for as long. At 150 ms, that wait was as long as the objective of a call.
-/// One body of 60 KB occupies a link of 7 Mbit/s for 69 ms.
+/// wait behind them for as long, so this is half of a call's objective, which is 150 ms. One
+/// body of 60 KB occupies a link of 7 Mbit/s for 69 ms.
 const MAX_LINK_TIME: Span = Span::from_millis(75);
 
 /// The size assumed for a body of unknown length, in bytes: that of the largest body that is
@@ -100,8 +100,8 @@
     }
 }
 
-/// Returns `request` with its body held back until the peer answers `100 Continue`, and a handle
-/// to the offer.
+/// Returns `request` with a body that is sent only after the peer answers `100 Continue`, and a
+/// handle to the offer.
 pub fn offer(request: Request<Body>) -> (Request<Body>, Offer) {
     let (sender, receiver) = oneshot::channel();
     let mut request = request.map(|body| body.gated_by(receiver));
--- a/src/transport/relay/peer_client.rs
+++ b/src/transport/relay/peer_client.rs
@@ -40,9 +40,9 @@
 /// one that takes much longer will not succeed. An idle connection holds about 20 KB at both
 /// ends, and a new one costs a round trip.
 ///
-/// Among hundreds of nodes, a node sends to the same peer again only after many seconds, when
-/// the idle connection has been closed: nearly all idle connections are closed unused. So only
-/// the few latest are kept, for requests in close succession.
+/// Among hundreds of nodes, many seconds pass between two requests of a node to the same
+/// peer, and idle connections are closed before that: nearly all are never reused. So only the
+/// few latest are kept, for requests in close succession.
 const POOL: Settings = Settings {
     connect_timeout: Duration::from_millis(250),
     idle_timeout: Duration::from_secs(5),
--- a/src/transport/relay/pool.rs
+++ b/src/transport/relay/pool.rs
@@ -25,7 +25,7 @@
 };
 
 /// How long the system takes to close all sockets of a process that ended, with a margin.
-/// Short against the wait of a request whose connection broke.
+/// Short compared with the wait of a request whose connection broke.
 const SOCKET_CLOSE_TIME: Duration = Duration::from_millis(5);
 
 /// A pool of connections, by address.
--- a/src/transport/relay/serve.rs
+++ b/src/transport/relay/serve.rs
@@ -38,8 +38,8 @@
 
 /// The pause of the server when it can accept no connection (at its limit, or
 /// the process has no file descriptors left), and the interval at which a
-/// closing server counts its connections. Long against an accept, short against
-/// a deadline.
+/// closing server counts its connections. Long compared with the time to accept a
+/// connection, short compared with a deadline.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// The phases of a process, up to its shutdown.
