--- a/src/transport/relay/control.rs
+++ b/src/transport/relay/control.rs
@@ -53,8 +53,7 @@
 /// each.
 const MAX_PEER_MESSAGE: usize = 8 << 20;
 
-/// The largest request that is not from a peer, in bytes; heartbeats of targets have a few
-/// hundred.
+/// The largest body of any other request, in bytes; heartbeats of targets have a few hundred.
 const MAX_CALL: usize = 16 << 10;
 
 /// How long the response to a target's heartbeat or leave call waits until the target's
