--- a/src/coordination/admission.rs
+++ b/src/coordination/admission.rs
@@ -15,8 +15,8 @@
 /// The weight of the newest run time in the moving average of run times.
 const NEWEST_WEIGHT: f64 = 0.1;
 
-/// Every so many grants, a waiting bulk or normal request goes first instead of
-/// a critical one. The two classes alternate, so neither is starved.
+/// Every 8th grant goes to a waiting bulk or normal request before critical ones.
+/// The two classes alternate in this, so neither is starved.
 const FAIR_GRANT_INTERVAL: u32 = 8;
 
 /// The number of classes.
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 pub struct Limiter {
     slots: u32,
-    queue: u32,
+    max_waiting: u32,
     running: [u32; CLASS_COUNT],
     waiting: [VecDeque<Waiter>; CLASS_COUNT],
     next_ticket: Ticket,
@@ -70,7 +70,7 @@
     pub fn new(slots: u32, queue: u32) -> Self {
         Self {
             slots: slots.max(1),
-            queue,
+            max_waiting: queue,
             running: [0; CLASS_COUNT],
             waiting: Default::default(),
             next_ticket: 0,
@@ -83,7 +83,7 @@
     /// Sets new limits. Requests that already run or wait are not affected.
     pub fn resize(&mut self, slots: u32, queue: u32) {
         self.slots = slots.max(1);
-        self.queue = queue;
+        self.max_waiting = queue;
     }
 
     /// Decides on a request that arrives at `now`.
@@ -179,15 +179,15 @@
     /// could have no waiter at each of its fair grants, because the other classes
     /// fill the queue.
     fn has_place(&self, class: Class) -> bool {
-        let is_first_of_class = self.queue > 0 && self.waiting[class as usize].is_empty();
-        is_first_of_class || self.waiting_count() < self.queue
+        let is_first_of_class = self.max_waiting > 0 && self.waiting[class as usize].is_empty();
+        is_first_of_class || self.waiting_count() < self.max_waiting
     }
 
     /// Returns whether a slot is free.
     ///
     /// Requests of any class may take it: classes decide the order of waiting
-    /// requests, and none has reserved slots. A slot reserved for one class idles
-    /// while others wait, which near full load cost a tenth of the target's capacity
+    /// requests, and none has reserved slots. A slot reserved for one class is idle
+    /// while others wait, which near full load took a tenth of the target's capacity
     /// (docs/CAPACITY.md).
     fn has_slot(&self) -> bool {
         self.running_count() < self.slots
@@ -234,7 +234,8 @@
     }
 }
 
-/// The shortest span after which a rejected request may be retried.
+/// The shortest span after which a rejected request may be retried. The `retry-after`
+/// header has whole seconds.
 const MIN_RETRY_AFTER: Span = Span::from_millis(1000);
 
 fn retry_after(wait: Duration) -> Span {
--- a/src/coordination/budget.rs
+++ b/src/coordination/budget.rs
@@ -1,17 +1,18 @@
 //! Retry budget: how many retries a proxy may make.
 //!
 //! Each first attempt adds a fraction of a token and each retry takes a token, so
-//! retries stay a fixed share of the traffic however many attempts fail. Refusals by
-//! an inbound proxy are not passed on up a chain of calls as retriable.
+//! retries stay a fixed share of the traffic however many attempts fail. In a chain of
+//! calls, the refusal of an inner call does not make the response to the outer call
+//! retriable: an inbound proxy removes the system's headers from its target's response.
 //!
-//! A target that runs a repeat makes the calls of that request again. Each such call is
-//! a first attempt of its own, but takes a token from the same budget, too. The
+//! A target that runs a repeat repeats the calls of that request. Each such call is a
+//! first attempt of its own, but takes a token from the same budget, too. The
 //! probability that a call is made by a repeat comes from
 //! [`runs`](crate::coordination::decision::runs).
 
 use crate::unit::Percent;
 
-/// The most tokens that a budget holds, and the largest debt that it runs up. A token
+/// The most tokens that a budget holds, and the largest debt that it can have. A token
 /// is worth one retry.
 const MAX_TOKENS: f64 = 20.0;
 
--- a/src/coordination/gossip.rs
+++ b/src/coordination/gossip.rs
@@ -35,7 +35,7 @@
 /// Maximum number of member updates in one ping.
 const UPDATES_PER_PING: usize = 16;
 
-/// Number of helpers: members that are asked to ping a member that did not answer.
+/// Number of helpers: members that this node asks to ping a member that did not answer it.
 const INDIRECT_PROBES: usize = 2;
 
 /// Number of periods between pings to another failure domain.
@@ -159,7 +159,7 @@
 
     /// Fetches a view from the first of `peers` that provides one.
     ///
-    /// If none does, returns how long to wait before any of them is asked again. When
+    /// If none does, returns how long to wait before any of them may be asked a second time. When
     /// a whole failure domain restarts, the few peers with a view would otherwise be
     /// kept busy with nothing but rejecting requests.
     async fn fetch_view(&self, peers: impl Iterator<Item = SocketAddr>) -> Option<Span> {
@@ -175,7 +175,7 @@
         Some(catchup::jitter(pause))
     }
 
-    /// Pings some seeds and neighbours; returns those that answered with their
+    /// Pings some seeds and members of its failure domain; returns those that answered with their
     /// versions, the newest first.
     async fn newest_sources(&self) -> Vec<(Version, SocketAddr)> {
         let mut peers = self.node.settings.seeds.clone();
@@ -401,7 +401,7 @@
         };
         self.node.merge_members(members);
         if !lacking.is_empty() {
-            // If the message is lost, the next comparison finds the same differences.
+            // If the message does not arrive, the next comparison finds the same differences.
             let _ = (self.call)(peer, Frame::Tell(lacking), max_wait).await;
         }
         true
@@ -484,8 +484,8 @@
 
 /// Sends this node's own record to `count` random members at once.
 ///
-/// If it waited for the next ping, the node would still be sent work that it no longer
-/// accepts.
+/// If this waited for the next ping, peers would still send requests that this node no
+/// longer accepts.
 pub async fn announce_now(node: &Arc<Node>, call: &Call, count: usize) {
     let me = node.me();
     let mut peers: Vec<SocketAddr> = {
--- a/src/coordination/interface.rs
+++ b/src/coordination/interface.rs
@@ -122,8 +122,8 @@
     /// version. A node without a version answers with an error.
     Routes(u64),
     /// Asks for the members that the requester lacks. The numbers are the
-    /// [`bucket_hashes`](crate::state::member::Table::bucket_hashes) of the requester's table. The answer
-    /// is a [`Members`](crate::protocol::update::Members).
+    /// [`bucket_hashes`](crate::state::member::Table::bucket_hashes) of the requester's table.
+    /// The answer is a [`Members`](crate::protocol::update::Members).
     Members(Vec<u32>),
     /// Asks for the version and the offsets that the node has reached. The answer is a
     /// [`Progress`](crate::protocol::update::Progress).
--- a/src/coordination/limiter.rs
+++ b/src/coordination/limiter.rs
@@ -52,7 +52,7 @@
         limiter.clone()
     }
 
-    /// Refuses all requests that wait for the target of `service`.
+    /// Refuses all requests that wait for the target of `service`, because it is draining.
     pub fn close(&self, service: &Name) {
         let limiter = self.limiters.lock().get(service).cloned();
         if let Some(limiter) = limiter {
--- a/src/coordination/log_reader.rs
+++ b/src/coordination/log_reader.rs
@@ -82,42 +82,42 @@
             tokio::time::sleep(JOIN_CHECK_INTERVAL.duration()).await;
         }
         loop {
-            let place = self.place();
-            self.note_role(place);
-            if place >= rank::READERS {
+            let rank = self.own_rank();
+            self.note_role(rank);
+            if rank >= rank::READERS {
                 tokio::time::sleep(ROLE_CHECK_INTERVAL.duration()).await;
                 continue;
             }
             let started_at = Instant::now();
-            match self.read(place).await {
+            match self.read(rank).await {
                 // The log had nothing new and answered at once: avoid a busy loop.
                 Ok(Progress::Idle) if started_at.elapsed() < ROLE_CHECK_INTERVAL.duration() => {
-                    self.succeeded();
+                    self.reset_failures();
                     tokio::time::sleep(catchup::jitter(ROLE_CHECK_INTERVAL).duration()).await;
                 }
-                Ok(_) => self.succeeded(),
-                Err(error) => self.failed(&error).await,
+                Ok(_) => self.reset_failures(),
+                Err(error) => self.back_off(&error).await,
             }
         }
     }
 
-    fn place(&self) -> usize {
+    fn own_rank(&self) -> usize {
         let settings = &self.node.settings;
         rank::reader_rank(&self.node.table.read(), &settings.domain, &settings.node)
     }
 
-    fn note_role(&mut self, place: usize) {
-        let is_reader = place < rank::READERS;
+    fn note_role(&mut self, rank: usize) {
+        let is_reader = rank < rank::READERS;
         if is_reader != self.is_reader {
             self.is_reader = is_reader;
             self.node.journal.write(
                 Event::ReaderChanged,
-                format_args!("reading={is_reader} place={place}"),
+                format_args!("reading={is_reader} place={rank}"),
             );
         }
     }
 
-    fn succeeded(&mut self) {
+    fn reset_failures(&mut self) {
         if self.failures > 0 {
             self.failures = 0;
             self.node.journal.write(Event::LogUp, format_args!(""));
@@ -126,7 +126,7 @@
 
     /// Waits with exponential backoff, then fetches from a node of another failure
     /// domain, which may reach the log even if this one can't.
-    async fn failed(&mut self, error: &Error) {
+    async fn back_off(&mut self, error: &Error) {
         if self.failures == 0 {
             self.node
                 .journal
@@ -168,7 +168,7 @@
     /// them.
     ///
     /// A node without a view does not wait.
-    async fn read(&mut self, place: usize) -> Result<Progress, Error> {
+    async fn read(&mut self, rank: usize) -> Result<Progress, Error> {
         let held = self
             .node
             .applier
@@ -199,7 +199,7 @@
             self.node.applier.mark_complete().await?;
             // Scatters all batches since `from`: earlier ones may not have reached the
             // end of the log.
-            self.scatter(from, place).await;
+            self.scatter(from, rank).await;
             self.scatter_from = None;
         }
         Ok(if applied > held {
@@ -212,14 +212,14 @@
     /// Scatters the records applied since `before` to the members of this failure
     /// domain, unless another reader has done so.
     ///
-    /// A reader at `place` 0 does so at once; any other waits for its delay first.
-    async fn scatter(&self, before: Version, place: usize) {
+    /// A reader of `rank` 0 does so at once; any other waits for its delay first.
+    async fn scatter(&self, before: Version, rank: usize) {
         let version = self.node.version();
         if version <= before {
             return;
         }
-        if place > 0 {
-            let pause = READER_DELAY.duration() * place as u32;
+        if rank > 0 {
+            let pause = READER_DELAY.duration() * rank as u32;
             tokio::time::sleep(pause).await;
             if *self.node.newest_received.lock() >= version {
                 return;
@@ -240,12 +240,12 @@
             _ => Payload::Count { version },
         };
         let settings = &self.node.settings;
-        let mut neighbours =
+        let mut members =
             rank::neighbours(&self.node.table.read(), &settings.domain, &settings.node);
         // Suspect and leaving members come last, so that no other member waits for their
         // timeouts.
-        neighbours.sort_by_key(|member| member.status);
-        let slice = neighbours.iter().map(|member| member.peers).collect();
+        members.sort_by_key(|member| member.status);
+        let slice = members.iter().map(|member| member.peers).collect();
         let (node, call) = (self.node.clone(), self.call.clone());
         // Runs in the background, so that a slow member does not delay the next read.
         tokio::spawn(async move {
@@ -290,7 +290,7 @@
         Ok(())
     }
 
-    /// Handles a log that ends before the version held, because its last records were
+    /// Handles a log that ends before the version `held`, because its last records were
     /// lost or it is a different log.
     ///
     /// The current state stays in force. Only a restore by an operator begins a new epoch,
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,10 +1,10 @@
 //! Coordination: how nodes cooperate, and how each node decides on requests.
 //!
 //! A node is one process of this system: a daemon on a platform with a log, or a host process
-//! on a platform with its own store. A daemon runs these tasks, each on its own thread, beside
-//! the threads that serve requests and peers:
+//! on a platform with its own store. A daemon runs these tasks, each on its own thread, in addition
+//! to the threads that serve requests and peers:
 //!
-//! * [`apply`]: applies log records and publishes views;
+//! * [`apply`]: applies log records and puts views in force;
 //! * [`gossip`]: maintains the table of members;
 //! * [`log_reader`]: reads the log for the failure domain and distributes its records;
 //! * [`snapshot`]: writes snapshots to the log.
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -28,8 +28,8 @@
     unit::Span,
 };
 
-/// New records from a message with at most this many member records are always
-/// relayed.
+/// The most member records in a message whose new records are always relayed; those of
+/// a larger message only if it has at most half as many records as the member table.
 const ALWAYS_RELAYED: usize = 16;
 
 /// Maximum number of large replies (snapshots, whole tables) sent concurrently.
@@ -224,9 +224,8 @@
     /// Merges member records from a peer into the table; returns how many of them
     /// were new or newer.
     ///
-    /// Those are relayed to other peers, unless the message is a whole table that
-    /// reaches a node with few known members. The other nodes know those records
-    /// already, and relaying them would keep every node busy for minutes after each
+    /// The new records are relayed to other peers, unless the message is a whole table
+    /// and this node knows few members. Then the other nodes know the records already, and relaying them would keep every node busy for minutes after each
     /// join.
     pub fn merge_members(&self, members: Vec<Member>) -> usize {
         let known = self.table.read().len();
@@ -249,7 +248,11 @@
             }
             return false;
         }
-        let old = self.table.read().get(&member.node).map(|held| held.status);
+        let old = self
+            .table
+            .read()
+            .get(&member.node)
+            .map(|known| known.status);
         if !self.table.write().merge(member.clone()) {
             return false;
         }
--- a/src/coordination/pick.rs
+++ b/src/coordination/pick.rs
@@ -5,7 +5,7 @@
 use crate::state::view::Distance;
 
 /// The cost, as a percentage of a target's slots, from which requests go to targets
-/// in farther failure domains in spite of the longer round trip.
+/// in farther failure domains although the round trip is longer.
 const SPILLOVER_COST: u32 = 90;
 
 /// A target that may receive the request, with the figures the choice is based on.
--- a/src/coordination/publish.rs
+++ b/src/coordination/publish.rs
@@ -58,8 +58,8 @@
         Err(Error::Unreachable(what)) => {
             Ok(Published::NotAccepted(format!("{what} can't be reached")))
         }
-        // The log may have appended the record although its reply was lost: wait for the
-        // record to be read.
+        // The log may have appended the record although its reply did not arrive: wait for
+        // the record to be read.
         Err(_) => wait_for_decision(node, &id, None, Span::from_secs(3)).await,
     }
 }
--- a/src/coordination/rank.rs
+++ b/src/coordination/rank.rs
@@ -24,7 +24,7 @@
 /// Number of further members of the same failure domain that a node pings. They turn
 /// the ring into a random graph, in which an update spreads in a few hops instead of
 /// hundreds.
-const CHORDS: usize = 4;
+const EXTRA_PROBE_PEERS: usize = 4;
 
 /// Number of members of other failure domains that a node pings.
 const REMOTE_PEERS: usize = 3;
@@ -41,7 +41,7 @@
 }
 
 /// Returns the rank of `node` for `job` among `others`; 0 is the first.
-fn place<'a>(job: &str, node: &Node, others: impl Iterator<Item = &'a Node>) -> usize {
+fn rank<'a>(job: &str, node: &Node, others: impl Iterator<Item = &'a Node>) -> usize {
     let seed = seed(job);
     let mine = weight(seed, node);
     others
@@ -56,7 +56,7 @@
     let others = table
         .iter()
         .filter(|m| m.status == Status::Alive && m.domain == *domain);
-    place("reader", node, others.map(|m| &m.node))
+    rank("reader", node, others.map(|m| &m.node))
 }
 
 /// Returns the rank of `node` among all alive members for writing snapshots.
@@ -64,13 +64,13 @@
 /// The node with rank 0 writes.
 pub fn writer_rank(table: &Table, node: &Node) -> usize {
     let others = table.iter().filter(|m| m.status == Status::Alive);
-    place("writer", node, others.map(|m| &m.node))
+    rank("writer", node, others.map(|m| &m.node))
 }
 
 /// Returns the present members of `domain` besides `node`.
 pub fn neighbours(table: &Table, domain: &Name, node: &Node) -> Vec<Arc<Member>> {
-    let is_neighbour = |m: &&Arc<Member>| m.domain == *domain && m.node != *node && m.is_present();
-    table.iter().filter(is_neighbour).cloned().collect()
+    let is_included = |m: &&Arc<Member>| m.domain == *domain && m.node != *node && m.is_present();
+    table.iter().filter(is_included).cloned().collect()
 }
 
 /// Returns the few members of its failure domain that `node` pings.
@@ -84,11 +84,11 @@
     let me = weight(order, node);
     // Sorts by the distance from `node` along the ring.
     ring.sort_by_cached_key(|member| weight(order, &member.node).wrapping_sub(me));
-    let mut chords = ring.split_off(ring.len().min(SUCCESSORS));
+    let mut extra = ring.split_off(ring.len().min(SUCCESSORS));
     let order = seed(node.as_str());
-    chords.sort_by_cached_key(|member| weight(order, &member.node));
-    chords.truncate(CHORDS);
-    ring.extend(chords);
+    extra.sort_by_cached_key(|member| weight(order, &member.node));
+    extra.truncate(EXTRA_PROBE_PEERS);
+    ring.extend(extra);
     ring
 }
 
--- a/src/coordination/snapshot.rs
+++ b/src/coordination/snapshot.rs
@@ -99,6 +99,7 @@
 /// returns.
 pub async fn run_writer(node: Arc<Node>, log: Log) {
     let every = node.settings.log.snapshot_every;
+    // The first snapshot comes after a quarter to three quarters of the interval.
     let mut due_ms = node.uptime_ms() + jitter(every).as_millis() / 2;
     loop {
         tokio::time::sleep(CHECK_INTERVAL.duration()).await;
