--- a/src/state/change.rs
+++ b/src/state/change.rs
@@ -89,7 +89,7 @@
     pub base: Anchor,
     /// The epoch that begins with the next record.
     pub epoch: u32,
-    /// The operator who started it.
+    /// The operator who started the recovery.
     pub author: String,
 }
 
--- a/src/state/check.rs
+++ b/src/state/check.rs
@@ -50,7 +50,7 @@
 }
 
 impl Problem {
-    /// Returns a problem with the field `field` of the resource `key`.
+    /// Returns a problem with a field of the resource `key`.
     pub fn new(key: &Key, field: &str, what: impl Into<String>) -> Self {
         Self {
             key: key.clone(),
--- a/src/state/member.rs
+++ b/src/state/member.rs
@@ -1,5 +1,5 @@
 //! The nodes of the mesh and the targets beside them, with the rules for merging
-//! reports about them.
+//! records of them.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -18,14 +18,14 @@
 /// The number of groups of members when two tables are compared.
 pub const BUCKETS: usize = 128;
 
-/// A report about one node.
+/// A record of one node.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Member {
     /// The node.
     pub node: Node,
     /// The incarnation of the node's process.
     pub incarnation: Incarnation,
-    /// Counts the node's reports about itself within one incarnation.
+    /// Counts the node's records of itself within one incarnation.
     pub sequence: u64,
     /// Whether the node is available.
     pub status: Status,
@@ -49,7 +49,7 @@
 
 /// The availability of a member.
 ///
-/// Of two reports about the same incarnation with the same sequence, the one
+/// Of two records of the same incarnation with the same sequence, the one
 /// whose status comes later in this order wins.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub enum Status {
@@ -164,7 +164,7 @@
 }
 
 impl Table {
-    /// Stores `member` if it is newer than the stored report about the same node.
+    /// Stores `member` if it is newer than the stored record of the same node.
     ///
     /// Returns whether it was stored.
     pub fn merge(&mut self, member: Member) -> bool {
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -44,11 +44,11 @@
     /// A snapshot's checksum does not match its content.
     #[error("checksum of snapshot does not match")]
     Checksum,
-    /// A record or snapshot needs a newer version of the rules than this
-    /// program has.
+    /// A record or snapshot needs a newer rules version than this program
+    /// supports.
     #[error("written under rules {found}, this version knows up to {known}")]
     UnsupportedRules {
-        /// The rules version it was written under.
+        /// The rules version that it needs.
         found: u32,
         /// The newest rules version of this program.
         known: u32,
--- a/src/state/resource.rs
+++ b/src/state/resource.rs
@@ -94,7 +94,7 @@
     /// The number of requests that may wait for a slot of one target. Unless it is
     /// 0, one request of a class that has none waiting may wait beyond it.
     pub queue: u32,
-    /// The class of its requests, which decides who goes first when slots are short.
+    /// The class of its requests, which decides their order when slots are short.
     pub class: Class,
     /// Which requests may run more than once.
     pub repeat: Repeat,
@@ -122,7 +122,7 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Class {
-    /// A person is waiting for the answer: fare rules, revoked cards, quotes.
+    /// Requests of people who wait for the answer: fare rules, revoked cards, quotes.
     Critical,
     /// Ordinary calls.
     Normal,
--- a/src/state/routing.rs
+++ b/src/state/routing.rs
@@ -151,10 +151,10 @@
     /// Two routes have the same name.
     #[error("two routes are named {0}")]
     Name(Name),
-    /// A change applies to another version than the current one.
+    /// A delta applies to a version other than the current one.
     #[error("a change of version {base} does not fit version {held}")]
     Base {
-        /// The version that it changes.
+        /// The version to which the delta applies.
         base: u64,
         /// The current version, 0 if there is none.
         held: u64,
