--- a/src/host/metrics.rs
+++ b/src/host/metrics.rs
@@ -20,7 +20,7 @@
 /// The upper bound of the first bucket, in seconds; each further bucket doubles it.
 const FIRST_BUCKET_SECONDS: f64 = 0.001;
 
-/// The number of buckets. The last ends at 16 s, beyond every deadline of both meshes.
+/// The number of buckets. The last ends at 16 s, which is longer than every deadline.
 const BUCKET_COUNT: u16 = 15;
 
 /// The metrics of one host process.
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! A host process serves a platform that has its own store. Versions of the routes and
 //! the members come from that store, so the process needs no quorum, storage or
-//! snapshots. It only manages the target on its host and routes requests.
+//! snapshots. It manages the target on its host and routes requests.
 
 pub mod metrics;
 mod settings;
@@ -41,9 +41,9 @@
 const DRAIN_PERIOD: Duration = Duration::from_millis(2500);
 
 /// The last part of [`DRAIN_PERIOD`], in which requests of other nodes are rejected:
-/// several times what it takes until every sender has learned of it. If they were rejected
-/// from the start, the target would be unused during all of that period although it could
-/// serve.
+/// several times as long as it takes until every sender knows that the node is leaving. If
+/// they were rejected from the start, the target would be unused for the whole period although
+/// it could serve.
 const REJECT_PERIOD: Duration = Duration::from_millis(500);
 
 /// The part of the grace period reserved for the exit of the process itself.
--- a/src/host/settings.rs
+++ b/src/host/settings.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The name of the node, unique in the fleet.
+    /// The name of the node, unique in the mesh.
     pub node: Node,
     /// The failure domain of the host.
     pub domain: Name,
@@ -36,7 +36,7 @@
     pub heartbeat: Span,
     /// The grace period: the most time that a shutdown may take, from the signal to the exit.
     pub grace: Span,
-    /// The limit on retries by the fleet.
+    /// The limit on retries by all nodes together.
     pub resend: RetryLimit,
     /// The bandwidth of the host's link in Mbit/s; 0 if unknown.
     #[serde(default)]
@@ -86,7 +86,7 @@
     pub peers: SocketAddr,
 }
 
-/// The limit on retries by the fleet, for each service within any window.
+/// The limit on retries by all nodes together, for each service within any window.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RetryLimit {
