--- a/src/journal.rs
+++ b/src/journal.rs
@@ -27,7 +27,7 @@
 const TEXT_RING_LINES: usize = 16_384;
 
 /// Maximum number of lines that wait to be written as JSON, to standard output. A process
-/// writes about that many in two seconds at its budget. A line takes about 300 bytes.
+/// that logs at its budget fills the ring in about two seconds. A line takes about 300 bytes.
 const JSON_RING_LINES: usize = 2_048;
 
 /// How long the writer waits for more lines after the first one that wakes it, in order
@@ -35,7 +35,7 @@
 const BATCH_DELAY: Duration = Duration::from_millis(100);
 
 /// Maximum number of lines per event and second; further lines are dropped and counted.
-/// A target of either supported mesh runs about 100 requests a second.
+/// A target runs about 100 requests a second.
 const MAX_LINES_PER_SECOND: u32 = 300;
 
 /// Writes log lines without blocking the caller. Clones share one writer.
@@ -83,7 +83,7 @@
     /// Number of lines dropped, for a full ring or a spent budget.
     dropped: AtomicU64,
     is_stopped: AtomicBool,
-    /// Held from taking lines out of the ring until they are written.
+    /// Locked from taking lines out of the ring until they are written.
     write_lock: Mutex<()>,
     /// Whether the writer thread is parked, or about to park, and has to be woken.
     is_parked: AtomicBool,
@@ -270,7 +270,7 @@
     /// Writes all lines that wait in the ring.
     fn write_waiting(&self) {
         // Without the lock, `stop` could return, and the process end, while the writer
-        // thread still held lines that it had taken out of the ring.
+        // thread still had unwritten lines from the ring.
         let _guard = self.write_lock.lock();
         let lines: Vec<Line> = std::iter::from_fn(|| self.ring.pop()).collect();
         if !lines.is_empty() {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! rilltrack distributes configuration to the proxies of a service mesh and
 //! routes their requests by it.
 //!
-//! It is made for meshes with regulated data, where it matters more *where* a
-//! request is served than how fast. One small process, a node, runs on each
+//! It is designed for meshes with regulated data, where the place that serves a
+//! request matters more than the speed. One small process, a node, runs on each
 //! target host. Operators publish labelled resources to the platform's
 //! append-only log. Every node applies the records in the order of the log with
 //! the same deterministic function, so nodes need no other agreement on the
@@ -54,7 +54,7 @@
 //! };
 //! let record = Entry::Change(change).encode();
 //! assert_eq!(machine.apply(0, record.clone())?.verdict, Verdict::Accepted);
-//! // The response was lost and the client published again: a change is
+//! // The client got no response and published the change a second time: it is
 //! // applied only once.
 //! assert!(matches!(machine.apply(1, record)?.verdict, Verdict::Repeated(_)));
 //! # Ok::<(), Box<dyn std::error::Error>>(())
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -148,7 +148,7 @@
     pub threads: usize,
     /// How long a shutdown waits for requests in progress.
     pub drain: Span,
-    /// Maximum number of idempotency keys held, both issued and used.
+    /// Maximum number of idempotency keys that a node keeps, used or not.
     pub keys: usize,
     /// Lifetime of an idempotency key.
     pub key_life: Span,
@@ -210,7 +210,7 @@
     Span::from_secs(600)
 }
 
-/// A setting that conflicts with another or is out of bounds.
+/// An invalid setting: it conflicts with another or is out of bounds.
 struct Conflict {
     path: Vec<&'static str>,
     message: &'static str,
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -28,7 +28,7 @@
 /// interval between two pings of the same peer.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The maximum number of idle connections kept for each peer.
+/// The maximum number of idle connections that are kept to each peer.
 const MAX_IDLE_PER_PEER: usize = 64;
 
 /// Returns a builder for HTTP clients that follow no redirects, make no retries of
@@ -255,7 +255,7 @@
 /// # Errors
 ///
 /// Returns the reason why no answer arrived. A timeout never counts as "not sent",
-/// because the connection may have been established just before it.
+/// because the connection may have been established just before the timeout.
 pub async fn forward(
     client: &reqwest::Client,
     out: Outgoing,
--- a/src/transport/inbound.rs
+++ b/src/transport/inbound.rs
@@ -1,8 +1,8 @@
 //! The inbound proxy: passes requests from other nodes to the targets on this
 //! host.
 //!
-//! Only the inbound proxy knows which requests were sent to its targets, so only
-//! it can report "not run" with certainty.
+//! Only the inbound proxy knows which requests it sent to its targets, so only it
+//! can report with certainty that a request has not run.
 
 use std::{
     sync::Arc,
--- a/src/transport/keyed.rs
+++ b/src/transport/keyed.rs
@@ -287,7 +287,7 @@
     refusal
 }
 
-/// Returns the hash by which a repeat is told from another request with the same
+/// Returns the hash that distinguishes a repeat from a different request with the same
 /// key.
 fn digest(service: &str, onward: &Onward, body: &[u8]) -> u64 {
     let mut hasher = xxhash_rust::xxh3::Xxh3::new();
--- a/src/transport/outbound.rs
+++ b/src/transport/outbound.rs
@@ -80,7 +80,7 @@
 
     /// Tries targets until one answers or no further attempt is allowed: the
     /// retry budget is spent, the deadline has passed, the body can't be sent
-    /// again, or a retry might run a request twice that may only run once.
+    /// a second time, or a retry might run a request twice that may run only once.
     async fn attempts(&self, plan: &Plan, mut body: Body) -> Result<reqwest::Response, Refusal> {
         let service = &plan.service.name;
         self.note_first_send(plan);
