--- a/src/coordination/apply.rs
+++ b/src/coordination/apply.rs
@@ -161,7 +161,7 @@
     /// Only if the daemon is ending.
     pub async fn wait_for(&self, version: Version) -> Result<(), Error> {
         let mut watch = self.version.clone();
-        let result = watch.wait_for(|held| *held >= version).await;
+        let result = watch.wait_for(|applied| *applied >= version).await;
         result.map(|_| ()).map_err(|_| Error::Ending)
     }
 
@@ -313,8 +313,8 @@
             return;
         }
         let (version, set) = (self.machine.version(), self.machine.resources().clone());
-        let held = self.node.view.load_full();
-        let next = match (held, touched) {
+        let old = self.node.view.load_full();
+        let next = match (old, touched) {
             (Some(view), Some(touched)) => view.updated(version, set, touched),
             _ => View::new(version, set, self.proxy()),
         };
--- a/src/coordination/catchup.rs
+++ b/src/coordination/catchup.rs
@@ -26,19 +26,19 @@
     call: &Call,
     peer: SocketAddr,
 ) -> Result<Option<Span>, Error> {
-    let held = node.applier.inspect(|machine| machine.version()).await?;
-    let reply = call(peer, Frame::Fetch(held), FETCH_TIMEOUT).await?;
+    let current = node.applier.inspect(|machine| machine.version()).await?;
+    let reply = call(peer, Frame::Fetch(current), FETCH_TIMEOUT).await?;
     let version = match reply {
-        Reply::Records(records) => node.applier.apply_records(held, records).await?,
+        Reply::Records(records) => node.applier.apply_records(current, records).await?,
         Reply::Snapshot(bytes) => node.applier.load_snapshot(bytes).await?,
-        Reply::Current => held,
+        Reply::Current => current,
         Reply::Later(pause) => return Ok(Some(pause)),
         _ => return Err(Error::Unexpected(peer.to_string())),
     };
     // A peer serves fetches only from a complete view, so this state is complete now.
     node.applier.mark_complete().await?;
-    if version > held {
-        let details = format_args!("version={version} was={held} peer={peer}");
+    if version > current {
+        let details = format_args!("version={version} was={current} peer={peer}");
         node.journal.write(Event::CaughtUp, details);
     }
     Ok(None)
--- a/src/coordination/gossip.rs
+++ b/src/coordination/gossip.rs
@@ -261,19 +261,19 @@
         if self.is_reached_indirectly(member).await {
             return;
         }
-        let held = self.node.table.read().get(&member.node).cloned();
-        let Some(held) = held.filter(|held| held.precedence() == member.precedence()) else {
+        let known = self.node.table.read().get(&member.node).cloned();
+        let Some(known) = known.filter(|known| known.precedence() == member.precedence()) else {
             return;
         };
-        if matches!(held.status, Status::Alive | Status::Leaving) {
-            let status = if held.status == Status::Leaving {
+        if matches!(known.status, Status::Alive | Status::Leaving) {
+            let status = if known.status == Status::Leaving {
                 Status::Gone
             } else {
                 Status::Suspect
             };
             self.node.merge_members(vec![Member {
                 status,
-                ..held.as_ref().clone()
+                ..known.as_ref().clone()
             }]);
         }
     }
@@ -444,11 +444,11 @@
 /// is ahead.
 pub fn apply_news(node: &Arc<Node>, call: &Call, ping_body: PingBody) {
     node.merge_members(ping_body.members);
-    let held = node.version();
-    if ping_body.version == held {
+    let current = node.version();
+    if ping_body.version == current {
         node.mark_current();
     }
-    if ping_body.version > held && node.view.load().is_some() {
+    if ping_body.version > current && node.view.load().is_some() {
         tokio::spawn(fetch_later(
             node.clone(),
             call.clone(),
@@ -474,8 +474,8 @@
     let sender = from.node.clone();
     apply_news(node, call, from);
     let mut ping_body = outgoing_updates(node);
-    let held = node.table.read().get(&sender).cloned();
-    let suspected = held.filter(|member| matches!(member.status, Status::Suspect | Status::Gone));
+    let known = node.table.read().get(&sender).cloned();
+    let suspected = known.filter(|member| matches!(member.status, Status::Suspect | Status::Gone));
     ping_body
         .members
         .extend(suspected.map(|member| member.as_ref().clone()));
--- a/src/coordination/log_reader.rs
+++ b/src/coordination/log_reader.rs
@@ -370,7 +370,7 @@
     };
     let relayed = scatter::scatter(call.clone(), node.peers, payload.clone(), recipients);
     let (is_current, mut version_count) =
-        tokio::join!(apply_load(node, call, from, payload, wanted), relayed);
+        tokio::join!(apply_payload(node, call, from, payload, wanted), relayed);
     if is_current {
         version_count.current += 1;
     } else {
@@ -382,7 +382,7 @@
 
 /// Puts the records of `payload` in force on this node; returns whether `wanted` is in
 /// force afterwards.
-async fn apply_load(
+async fn apply_payload(
     node: &Arc<Node>,
     call: &Call,
     from: SocketAddr,
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -225,8 +225,8 @@
     /// were new or newer.
     ///
     /// The new records are relayed to other peers, unless the message is a whole table
-    /// and this node knows few members. Then the other nodes know the records already, and relaying them would keep every node busy for minutes after each
-    /// join.
+    /// and this node knows few members. Then the other nodes know the records already,
+    /// and relaying them would keep every node busy for minutes after each join.
     pub fn merge_members(&self, members: Vec<Member>) -> usize {
         let known = self.table.read().len();
         let is_relayed = members.len() <= ALWAYS_RELAYED || members.len() * 2 <= known;
@@ -273,9 +273,9 @@
     /// Returns whether a fault appeared or disappeared; replacing one fault by
     /// another returns false.
     pub fn set_log_fault(&self, fault: Option<LogFault>) -> bool {
-        let mut held = self.log_fault.lock();
-        let has_changed = held.is_some() != fault.is_some();
-        *held = fault;
+        let mut current = self.log_fault.lock();
+        let has_changed = current.is_some() != fault.is_some();
+        *current = fault;
         has_changed
     }
 
--- a/src/coordination/scatter.rs
+++ b/src/coordination/scatter.rs
@@ -2,8 +2,8 @@
 //! replies.
 //!
 //! The sender determines the tree: it splits its list of nodes among a few children,
-//! and each child splits its part in the same way. A child that does not answer costs
-//! one timeout; its part then goes to the next node in that part. Member tables may
+//! and each child splits its part in the same way. If a child does not answer, its part
+//! is sent to the next node in that part after one timeout. Member tables may
 //! differ between nodes without harm, because only the sender's list is used.
 
 use std::{net::SocketAddr, time::Duration};
--- a/src/journal.rs
+++ b/src/journal.rs
@@ -205,7 +205,7 @@
         self.shared.dropped.load(Ordering::Relaxed)
     }
 
-    /// Writes all waiting lines and tells the writer thread to end.
+    /// Writes all waiting lines and signals the writer thread to end.
     pub fn stop(&self) {
         self.shared.is_stopped.store(true, Ordering::Relaxed);
         self.shared.wake_writer();
--- a/src/state/evidence.rs
+++ b/src/state/evidence.rs
@@ -33,8 +33,8 @@
     /// Targets that have crashed under the request, as far as the node knew when its own did.
     pub ends: u8,
     /// The clear count of the request before: how often it had been cleared. A higher
-    /// [`Cleared::times`] from any node overrules this entry, also when the node that reported
-    /// the entry is gone and can't withdraw it.
+    /// [`Cleared::times`] from any node overrules this entry, also if the node that reported
+    /// the entry has left and can't withdraw it.
     pub round: u32,
 }
 
--- a/src/transport/inbound.rs
+++ b/src/transport/inbound.rs
@@ -266,12 +266,18 @@
         };
         let answered = self.run(&visit, Onward::of(req), body).await;
         let response = answered.map_err(|failure| failure.refusal("target"))?;
-        self.pass(response, permit, &visit, res);
+        self.stream_response(response, permit, &visit, res);
         Ok(())
     }
 
     /// Streams the target's answer. The slot is released at the end of its body.
-    fn pass(&self, response: reqwest::Response, permit: Permit, visit: &Visit, res: &mut Response) {
+    fn stream_response(
+        &self,
+        response: reqwest::Response,
+        permit: Permit,
+        visit: &Visit,
+        res: &mut Response,
+    ) {
         res.status_code(response.status());
         *res.headers_mut() = http::passed_on(response.headers());
         self.mark(res.headers_mut(), Outcome::Answered);
--- a/src/transport/peers.rs
+++ b/src/transport/peers.rs
@@ -87,7 +87,7 @@
 
 /// Returns whether to accept a member record from `sender`. A record of the sender itself
 /// must give the failure domain that was confirmed for the sender.
-fn is_honest(member: &Member, sender: &Identity) -> bool {
+fn is_valid_claim(member: &Member, sender: &Identity) -> bool {
     member.node != sender.node || member.domain == sender.domain
 }
 
@@ -150,7 +150,9 @@
                 Err(Error::Unexpected(sender.node.to_string()))
             }
             Frame::Ping(mut ping_body) => {
-                ping_body.members.retain(|member| is_honest(member, sender));
+                ping_body
+                    .members
+                    .retain(|member| is_valid_claim(member, sender));
                 Ok(gossip::answer_ping(node, call, ping_body))
             }
             Frame::PingFor(peer) => {
@@ -158,7 +160,7 @@
             }
             Frame::Sync(hashes) => Ok(self.compare(&hashes)),
             Frame::Tell(mut members) => {
-                members.retain(|member| is_honest(member, sender));
+                members.retain(|member| is_valid_claim(member, sender));
                 node.merge_members(members);
                 Ok(Reply::Done)
             }
--- a/src/transport/relay/offer.rs
+++ b/src/transport/relay/offer.rs
@@ -5,7 +5,7 @@
 //!
 //! * Large ones ([`is_large`](crate::coordination::decision::balance::is_large)); smaller ones
 //!   fit into the first packets of a connection. A body that a node refuses after receiving it
-//!   takes as much of the link as one that is served. When several nodes are tried in turn, slow
+//!   takes as much of the link as one that is served. When several nodes are tried for it, slow
 //!   links fill up with refused uploads, and heartbeats and configuration changes wait behind
 //!   them.
 //! * Those of requests that may run only once. As long as the body has not been sent, the
