--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -30,7 +30,7 @@
 
 /// The most member records in a message whose new records are always relayed; those of
 /// a larger message only if it has at most half as many records as the member table.
-const ALWAYS_RELAYED: usize = 16;
+const MAX_ALWAYS_RELAYED: usize = 16;
 
 /// Maximum number of large replies (snapshots, whole tables) sent concurrently.
 /// When a whole failure domain restarts, its nodes request hundreds at once.
@@ -229,7 +229,7 @@
     /// and relaying them would keep every node busy for minutes after each join.
     pub fn merge_members(&self, members: Vec<Member>) -> usize {
         let known = self.table.read().len();
-        let is_relayed = members.len() <= ALWAYS_RELAYED || members.len() * 2 <= known;
+        let is_relayed = members.len() <= MAX_ALWAYS_RELAYED || members.len() * 2 <= known;
         let mut updated = 0;
         for member in members {
             updated += usize::from(self.merge_member(member, is_relayed));
